--- a/bench/policy_bench/telemetry.cpp
+++ b/bench/policy_bench/telemetry.cpp
@@ -59,7 +59,7 @@
         fake_engine const& own = m_upstreams.engine(engine);
         decide::engine_report made;
         made.engine = m_upstreams.name(engine);
-        made.taken = m_queue.now();
+        made.measured_at = m_queue.now();
         made.running = own.running();
         made.waiting = own.waiting();
         made.kv_used = own.kv_share();
--- a/src/decide/broken_attempt.hpp
+++ b/src/decide/broken_attempt.hpp
@@ -18,7 +18,7 @@
     index engine = no_index;
     model::time_point at{};
     /// It broke before its first token.
-    bool early = false;
+    bool is_early = false;
 };
 
 } // namespace caperjunction::decide
--- a/src/decide/class_rules.hpp
+++ b/src/decide/class_rules.hpp
@@ -13,8 +13,8 @@
 {
     /// Place of its tier; 0 is the highest.
     index tier = 0;
-    model::milliseconds first_token{490};
-    model::milliseconds between_tokens{42};
+    model::milliseconds first_token_target{490};
+    model::milliseconds inter_token_target{42};
     model::milliseconds max_wait{30'000};
     std::uint32_t max_output_tokens = 4096;
     double retry_ratio = 0.1;
--- a/src/decide/core.cpp
+++ b/src/decide/core.cpp
@@ -10,8 +10,8 @@
 constexpr std::size_t prefix_sets = 16'384;
 // Requests looked at in one tick, so that no tick takes long: a burst of
 // expiries is spread over the ticks that follow.
-constexpr std::size_t expiries_a_tick = 256;
-constexpr model::milliseconds slow_work_period{1000};
+constexpr std::size_t max_expiries_per_tick = 256;
+constexpr model::milliseconds periodic_work_interval{1000};
 
 } // namespace
 
@@ -27,17 +27,17 @@
 {
 }
 
-void core::handle(event const& happened,
+void core::handle(event const& input,
                   model::time_point now,
                   std::vector<decision>& out)
 {
     m_now = now;
     m_out = &out;
     std::visit(
-        [this](auto const& each) {
-            on(each);
+        [this](auto const& alternative) {
+            on(alternative);
         },
-        happened);
+        input);
     m_out = nullptr;
 }
 
@@ -47,9 +47,9 @@
     return found == m_entries.end() ? nullptr : &found->second;
 }
 
-void core::on(lists_changed const& happened)
+void core::on(lists_changed const& input)
 {
-    if (!m_policy.apply(happened.catalogue)) {
+    if (!m_policy.apply(input.catalogue)) {
         return;
     }
     // Tiers or classes moved: what waits is sorted anew, under the new rules
@@ -61,34 +61,34 @@
             waiting.insert(waiting.end(), arrivals.begin(), arrivals.end());
         }
     }
-    for (entry* one : waiting) {
-        dequeue(*one);
+    for (entry* request : waiting) {
+        dequeue(*request);
     }
     for (model_group& group : m_engines.groups()) {
         group.queue.set_shares(m_policy.shares());
     }
-    for (auto& known : m_entries) {
-        known.second.tier = m_policy.rules(known.second.class_place).tier;
+    for (auto& item : m_entries) {
+        item.second.tier = m_policy.rules(item.second.class_id).tier;
     }
-    for (entry* one : waiting) {
-        enqueue(*one);
+    for (entry* request : waiting) {
+        enqueue(*request);
     }
 }
 
-void core::on(upstreams_changed const& happened)
+void core::on(upstreams_changed const& input)
 {
-    m_engines.apply(happened.upstreams, m_policy.shares(), m_now);
-    m_services.apply(happened.upstreams);
+    m_engines.apply(input.upstreams, m_policy.shares(), m_now);
+    m_services.apply(input.upstreams);
     for (index group = 0; group < m_engines.groups().size(); ++group) {
-        drain(group);
+        dispatch_queued(group);
     }
 }
 
 void core::on(tick const& /*event*/)
 {
-    std::size_t looked = 0;
+    std::size_t handled = 0;
     while (!m_expiries.empty() && m_expiries.begin()->first <= m_now
-           && looked++ < expiries_a_tick) {
+           && handled++ < max_expiries_per_tick) {
         model::request_id const id = m_expiries.begin()->second;
         m_expiries.erase(m_expiries.begin());
         entry* const waiting = find(id);
@@ -109,13 +109,13 @@
     for (index group = 0; group < m_engines.groups().size(); ++group) {
         shed_late(group);
     }
-    revisit_engines();
-    revisit_peers();
-    drain_suspects();
-    if (m_now - m_slow_work_done >= slow_work_period) {
-        m_slow_work_done = m_now;
+    poll_engines();
+    poll_peers();
+    dispatch_suspects();
+    if (m_now - m_periodic_work_done >= periodic_work_interval) {
+        m_periodic_work_done = m_now;
         m_quarantine.expire(m_now);
-        model_shift const shift = m_shifter.look(m_engines, m_now);
+        model_shift const shift = m_shifter.poll(m_engines, m_now);
         if (shift.engine != no_index) {
             m_out->emplace_back(shift_model{m_engines.at(shift.engine).name,
                                             m_engines.model(shift.group),
--- a/src/decide/core.hpp
+++ b/src/decide/core.hpp
@@ -43,7 +43,7 @@
 public:
     explicit core(router_settings settings);
 
-    void handle(event const& happened,
+    void handle(event const& input,
                 model::time_point now,
                 std::vector<decision>& out);
 
@@ -53,31 +53,31 @@
     using expiry = std::pair<model::time_point, model::request_id>;
 
     // Events.
-    void on(lists_changed const& happened);
-    void on(upstreams_changed const& happened);
-    void on(request_arrived const& happened);
-    void on(request_cancelled const& happened);
-    void on(tokens_relayed const& happened);
-    void on(attempt_ended const& happened);
-    void on(engine_report const& happened);
-    void on(cache_changed const& happened);
-    void on(engine_lost const& happened);
-    void on(digest_received const& happened);
-    void on(host_lost const& happened);
-    void on(hand_over_refused const& happened);
-    void on(tick const& happened);
+    void on(lists_changed const& input);
+    void on(upstreams_changed const& input);
+    void on(request_arrived const& input);
+    void on(request_cancelled const& input);
+    void on(tokens_relayed const& input);
+    void on(attempt_ended const& input);
+    void on(engine_report const& input);
+    void on(cache_changed const& input);
+    void on(engine_lost const& input);
+    void on(digest_received const& input);
+    void on(host_lost const& input);
+    void on(hand_over_refused const& input);
+    void on(tick const& input);
 
     // Admission.
-    entry& admit(request const& source);
+    entry& add_entry(request const& arriving);
     bool refuse_quarantined(entry& waiting);
     bool refuse_over_limit(entry& waiting);
     bool refuse_early(entry& waiting);
-    bool hand_to_peer(entry& waiting, std::string const& reason);
+    bool try_hand_over(entry& waiting, std::string const& reason);
     overload_gate& gate(entry const& waiting);
     void refuse_late(entry& waiting);
-    bool higher_refused(entry const& waiting);
-    model::milliseconds time_to_come_back(entry const& waiting);
-    void make_room(entry const& arriving);
+    bool is_higher_tier_refused(entry const& waiting);
+    model::milliseconds retry_delay(entry const& waiting);
+    void evict_if_full(entry const& arriving);
     void enqueue(entry& waiting);
     void dequeue(entry& waiting);
     model::milliseconds expected_wait(entry const& waiting) const;
@@ -89,45 +89,45 @@
     void finish(entry& done);
 
     // Placement.
-    void drain(index group);
-    bool start_next(index group);
-    void drain_suspects();
+    void dispatch_queued(index group);
+    bool dispatch_next(index group);
+    void dispatch_suspects();
     void shed_late(index group);
-    bool hopeless(entry const& waiting) const;
-    bool start(entry& waiting);
-    bool start_service(entry& waiting);
+    bool misses_deadline(entry const& waiting) const;
+    bool try_dispatch(entry& waiting);
+    bool dispatch_service_call(entry& waiting);
     bool must_yield(entry const& waiting) const;
-    bool higher_waits(entry const& waiting) const;
-    void send(entry& waiting, placement chosen, std::string reason);
+    bool is_higher_tier_queued(entry const& waiting) const;
+    void emit_dispatch(entry& waiting, placement chosen, std::string reason);
 
     // Attempts.
     void release(entry& running);
     void charge_overrun(entry& running);
-    void expect_output(entry& running, std::uint32_t tokens);
-    void end_whole(entry& running, attempt_ended const& happened);
-    void note_broken(entry& running, index upstream);
+    void set_expected_output(entry& running, std::uint32_t tokens);
+    void end_complete(entry& running, attempt_ended const& input);
+    void record_broken(entry& running, index upstream);
     void end_broken(entry& running, index upstream);
     void end_not_run(entry& running, index upstream);
-    void try_again(entry& waiting, index avoided, std::string const& reason);
+    void retry(entry& waiting, index avoided, std::string const& reason);
 
     // Engines.
-    void judge(index engine);
+    void check_engine_health(index engine);
     void eject(index engine);
-    void lose(index engine);
-    void blame(index engine);
-    std::vector<broken_attempt> take_broken(index engine);
-    void suspect(broken_attempt const& attempt, blame_weight weight);
-    void revisit_engines();
-    void probe(index engine);
-    void drain_engine(index engine);
-    model::milliseconds tightest_gap(index group) const;
+    void mark_lost(index engine);
+    void attribute_crash(index engine);
+    std::vector<broken_attempt> extract_broken(index engine);
+    void record_suspect(broken_attempt const& attempt, crash_evidence evidence);
+    void poll_engines();
+    void start_probing(index engine);
+    void dispatch_for_engine(index engine);
+    model::milliseconds min_inter_token_target(index group) const;
 
     // Peers.
     void add_peer_load(peer const& source, int sign);
-    void forget_peer(peer& gone);
-    void count_peer(peer const& source, int sign);
-    void count_elsewhere(peer const& source);
-    void revisit_peers();
+    void remove_peer(peer& removed);
+    void update_position(peer const& source, int sign);
+    void charge_remote_tokens(peer const& source);
+    void poll_peers();
     index team_index(std::string const& customer,
                      std::string const& team,
                      std::string const& plan);
@@ -151,22 +151,22 @@
     std::unordered_map<model::request_id, entry> m_entries;
     std::set<expiry> m_expiries;
     /// Suspects that wait for an engine without another one.
-    std::vector<model::request_id> m_waiting_suspects;
+    std::vector<model::request_id> m_queued_suspects;
     std::vector<retry_budget> m_retries;
-    std::vector<model::time_point> m_class_seen;
+    std::vector<model::time_point> m_class_last_seen;
     name_table m_team_names;
     std::vector<team_state> m_teams;
     /// Tokens that each team has got on other hosts, by their digests.
-    std::vector<double> m_elsewhere;
+    std::vector<double> m_remote_tokens;
     std::unordered_map<std::uint32_t, index> m_team_hashes;
     name_table m_peer_names;
     std::vector<peer> m_peers;
     host_position m_position;
-    std::size_t m_next_engine = 0;
-    std::size_t m_next_peer = 0;
-    model::time_point m_slow_work_done{};
+    std::size_t m_next_polled_engine = 0;
+    std::size_t m_next_polled_peer = 0;
+    model::time_point m_periodic_work_done{};
     /// Broken attempts not long ago, in case their engine proves lost.
-    std::vector<broken_attempt> m_broken;
+    std::vector<broken_attempt> m_broken_attempts;
 };
 
 } // namespace caperjunction::decide
--- a/src/decide/core_admit.cpp
+++ b/src/decide/core_admit.cpp
@@ -7,47 +7,49 @@
 
 namespace {
 
-constexpr char const* come_back = "send it again after the time in Retry-After";
+constexpr char const* retry_remedy =
+    "send it again after the time in Retry-After";
 
 /// Whether a host with this load has room to spare for the tier.
-bool takes(digest const& load, std::uint32_t model, index tier)
+bool has_spare_capacity(digest const& load, std::uint32_t model, index tier)
 {
-    bool lower = false;
-    for (queue_load const& one : load.queues) {
-        if (one.model_hash != model) {
+    bool has_lower_tier = false;
+    for (queue_load const& item : load.queues) {
+        if (item.model_hash != model) {
             continue;
         }
-        if (one.tier <= tier && one.refused > 0) {
+        if (item.tier <= tier && item.refused > 0) {
             return false;
         }
-        lower = lower || (one.tier > tier && one.queued > 0);
+        has_lower_tier =
+            has_lower_tier || (item.tier > tier && item.queued > 0);
     }
-    return lower;
+    return has_lower_tier;
 }
 
 } // namespace
 
-void core::on(request_arrived const& happened)
+void core::on(request_arrived const& input)
 {
-    if (happened.request.id == model::request_id{}
-        || find(happened.request.id) != nullptr) {
+    if (input.request.id == model::request_id{}
+        || find(input.request.id) != nullptr) {
         return;
     }
-    entry& waiting = admit(happened.request);
+    entry& waiting = add_entry(input.request);
     if (refuse_quarantined(waiting) || refuse_over_limit(waiting)) {
         return;
     }
-    m_teams[waiting.team].limiter.admitted(token_cost(waiting), m_now);
-    waiting.charged = token_cost(waiting);
-    waiting.limited = true;
-    m_retries[waiting.class_place].record_attempt(
-        m_policy.rules(waiting.class_place).retry_ratio, m_now);
+    m_teams[waiting.team].limiter.record_admission(token_cost(waiting), m_now);
+    waiting.charged_tokens = token_cost(waiting);
+    waiting.counts_in_limits = true;
+    m_retries[waiting.class_id].record_attempt(
+        m_policy.rules(waiting.class_id).retry_ratio, m_now);
     if (waiting.is_service) {
-        start_service(waiting);
+        dispatch_service_call(waiting);
         return;
     }
     model_group& group = m_engines.groups()[waiting.group];
-    group.waits.arrived(waiting.tier, m_now);
+    group.waits.record_arrival(waiting.tier, m_now);
     if (group.engines.empty()) {
         refuse_request(waiting,
                        model::error_kind::unavailable,
@@ -59,69 +61,69 @@
     if (refuse_early(waiting)) {
         return;
     }
-    make_room(waiting);
+    evict_if_full(waiting);
     model::request_id const id = waiting.id;
     enqueue(waiting);
-    drain(waiting.group);
-    entry const* const still = find(id);
-    if (still != nullptr && still->phase == phase::queued) {
+    dispatch_queued(waiting.group);
+    entry const* const found = find(id);
+    if (found != nullptr && found->phase == phase::queued) {
         m_out->emplace_back(
             queued{id,
-                   static_cast<std::uint32_t>(group.queue.size(still->tier)),
+                   static_cast<std::uint32_t>(group.queue.size(found->tier)),
                    "no_room"});
     }
 }
 
-entry& core::admit(request const& source)
+entry& core::add_entry(request const& arriving)
 {
-    entry& made = m_entries[source.id];
-    made.id = source.id;
-    made.fingerprint = source.fingerprint;
-    made.prefix_blocks = source.prefix_blocks;
-    made.arrived = m_now;
-    made.class_place = m_policy.class_index(source.service_class);
-    if (made.class_place >= m_retries.size()) {
-        m_retries.resize(made.class_place + 1);
-        m_class_seen.resize(made.class_place + 1);
-    }
-    m_class_seen[made.class_place] = m_now;
-    class_rules const& rules = m_policy.rules(made.class_place);
-    made.tier = rules.tier;
+    entry& added = m_entries[arriving.id];
+    added.id = arriving.id;
+    added.fingerprint = arriving.fingerprint;
+    added.prefix_blocks = arriving.prefix_blocks;
+    added.arrived = m_now;
+    added.class_id = m_policy.class_index(arriving.service_class);
+    if (added.class_id >= m_retries.size()) {
+        m_retries.resize(added.class_id + 1);
+        m_class_last_seen.resize(added.class_id + 1);
+    }
+    m_class_last_seen[added.class_id] = m_now;
+    class_rules const& rules = m_policy.rules(added.class_id);
+    added.tier = rules.tier;
     // One that another host hands over has waited there already.
-    bool const waited = source.handed_over && source.arrived < m_now
-                        && m_now - source.arrived < rules.max_wait;
-    model::time_point const since = waited ? source.arrived : m_now;
-    made.deadline = since + rules.first_token;
-    made.expires = since + rules.max_wait;
-    made.team = team_index(source.customer, source.team, source.plan);
-    made.prompt_tokens = source.prompt_tokens;
-    std::uint32_t const asked = source.max_output_tokens;
-    made.max_output_tokens = asked == 0
-                                 ? rules.max_output_tokens
-                                 : std::min(asked, rules.max_output_tokens);
-    made.repeatable = source.repeatable;
-    made.taken_over = source.handed_over;
-    made.is_service = !source.service.empty();
-    if (made.is_service) {
-        made.group = m_services.find(source.service);
+    bool const has_waited = arriving.handed_over && arriving.arrived < m_now
+                            && m_now - arriving.arrived < rules.max_wait;
+    model::time_point const since = has_waited ? arriving.arrived : m_now;
+    added.deadline = since + rules.first_token_target;
+    added.expires = since + rules.max_wait;
+    added.team = team_index(arriving.customer, arriving.team, arriving.plan);
+    added.prompt_tokens = arriving.prompt_tokens;
+    std::uint32_t const requested = arriving.max_output_tokens;
+    added.max_output_tokens =
+        requested == 0 ? rules.max_output_tokens
+                       : std::min(requested, rules.max_output_tokens);
+    added.repeatable = arriving.repeatable;
+    added.from_peer = arriving.handed_over;
+    added.is_service = !arriving.service.empty();
+    if (added.is_service) {
+        added.group = m_services.find(arriving.service);
     } else {
-        made.group = m_engines.group(source.model, m_policy.shares());
-        made.expected_output =
-            m_lengths.predict(made.class_place, made.max_output_tokens);
+        added.group = m_engines.group(arriving.model, m_policy.shares());
+        added.expected_output =
+            m_lengths.predict(added.class_id, added.max_output_tokens);
     }
-    made.suspect = m_quarantine.suspected(made.fingerprint);
-    return made;
+    added.suspect = m_quarantine.is_suspect(added.fingerprint);
+    return added;
 }
 
 bool core::refuse_quarantined(entry& waiting)
 {
-    auto const left = m_quarantine.remaining(waiting.fingerprint, m_now);
-    if (left.count() == 0) {
+    auto const time_left = m_quarantine.remaining(waiting.fingerprint, m_now);
+    if (time_left.count() == 0) {
         return false;
     }
     refuse_request(waiting,
                    model::error_kind::quarantined,
-                   left,
+                   time_left,
                    "crashed_engines",
                    "change the request: each engine that ran it crashed");
     return true;
@@ -132,8 +134,8 @@
     // One team over its plan must not use what others have paid for; it is
     // told so at once, since waiting here would not make it fit.
     team_state const& team = m_teams[waiting.team];
-    auto const wait = team.limiter.check(team.limits, m_now);
-    if (wait.count() == 0 || waiting.taken_over) {
+    auto const wait = team.limiter.delay_until_allowed(team.limits, m_now);
+    if (wait.count() == 0 || waiting.from_peer) {
         return false;
     }
     refuse_request(waiting,
@@ -151,46 +153,46 @@
     // and the time to come back is the best that is known.
     // Under lasting overload the same holds of a wait beyond the target.
     model::milliseconds const wait = expected_wait(waiting);
-    class_rules const& rules = m_policy.rules(waiting.class_place);
-    bool const shut = gate(waiting).shut(m_now);
-    model::milliseconds const longest =
-        shut ? rules.first_token : rules.max_wait / 2;
-    if (wait < longest) {
+    class_rules const& rules = m_policy.rules(waiting.class_id);
+    bool const is_overloaded = gate(waiting).is_closed(m_now);
+    model::milliseconds const limit =
+        is_overloaded ? rules.first_token_target : rules.max_wait / 2;
+    if (wait < limit) {
         return false;
     }
-    if (hand_to_peer(waiting, "queue_too_long")) {
+    if (try_hand_over(waiting, "queue_too_long")) {
         return true;
     }
     refuse_request(waiting,
                    model::error_kind::refused,
-                   time_to_come_back(waiting),
+                   retry_delay(waiting),
                    "queue_too_long",
-                   come_back);
+                   retry_remedy);
     return true;
 }
 
-bool core::hand_to_peer(entry& waiting, std::string const& reason)
+bool core::try_hand_over(entry& waiting, std::string const& reason)
 {
     // A higher tier must not be refused here while another host still queues
     // lower work for the same model and refuses nothing. One hop only, so
     // that it can't circle; from different peers on, so that a burst of them
     // doesn't fall on one.
-    if (waiting.taken_over || waiting.attempt > 0) {
+    if (waiting.from_peer || waiting.attempt > 0) {
         return false;
     }
     std::uint32_t const model = name_hash(m_engines.model(waiting.group));
-    for (std::size_t tried = 0; tried < m_peers.size(); ++tried) {
-        peer const& other =
-            m_peers[(waiting.id.value + tried) % m_peers.size()];
-        if (!other.live || !takes(other.load, model, waiting.tier)) {
+    for (std::size_t offset = 0; offset < m_peers.size(); ++offset) {
+        peer const& target =
+            m_peers[(waiting.id.value + offset) % m_peers.size()];
+        if (!target.live
+            || !has_spare_capacity(target.load, model, waiting.tier)) {
             continue;
         }
-        m_out->emplace_back(hand_over{waiting.id, other.name, reason});
+        m_out->emplace_back(hand_over{waiting.id, target.name, reason});
         waiting.phase = phase::handed_over;
         // The other host's refusal must find it: by then its longest wait is
         // over there as well.
-        waiting.expires =
-            m_now + 2 * m_policy.rules(waiting.class_place).max_wait;
+        waiting.expires = m_now + 2 * m_policy.rules(waiting.class_id).max_wait;
         m_expiries.emplace(waiting.expires, waiting.id);
         return true;
     }
@@ -203,19 +205,19 @@
     waiting.queued_at = m_now;
     m_expiries.emplace(waiting.expires, waiting.id);
     if (waiting.suspect) {
-        m_waiting_suspects.push_back(waiting.id);
+        m_queued_suspects.push_back(waiting.id);
         return;
     }
-    m_engines.groups()[waiting.group].queue.push(waiting, m_elsewhere);
+    m_engines.groups()[waiting.group].queue.push(waiting, m_remote_tokens);
 }
 
 void core::dequeue(entry& waiting)
 {
     m_expiries.erase({waiting.expires, waiting.id});
-    auto const place = std::find(
-        m_waiting_suspects.begin(), m_waiting_suspects.end(), waiting.id);
-    if (waiting.suspect && place != m_waiting_suspects.end()) {
-        m_waiting_suspects.erase(place);
+    auto const position = std::find(
+        m_queued_suspects.begin(), m_queued_suspects.end(), waiting.id);
+    if (waiting.suspect && position != m_queued_suspects.end()) {
+        m_queued_suspects.erase(position);
         return;
     }
     m_engines.groups()[waiting.group].queue.remove(waiting);
--- a/src/decide/core_attempt.cpp
+++ b/src/decide/core_attempt.cpp
@@ -9,83 +9,84 @@
 
 // Attempts of one request. Beyond these, what fails is most likely the
 // request or the whole fleet, and a further try only adds load.
-constexpr std::uint32_t most_broken_attempts = 5;
+constexpr std::uint32_t max_broken_attempts = 5;
 // Those that were not run cost nobody anything but time.
-constexpr std::uint32_t most_attempts = 12;
+constexpr std::uint32_t max_attempts = 12;
 // Broken attempts remembered until it shows whether the engine was lost.
-constexpr std::size_t most_broken = 512;
+constexpr std::size_t max_broken_records = 512;
 // An answer beyond its expected length is expected to be longer yet by this
 // part, so that it isn't charged anew with each token.
-constexpr std::uint32_t overrun_part = 4;
+constexpr std::uint32_t overrun_divisor = 4;
 
 } // namespace
 
-void core::on(tokens_relayed const& happened)
+void core::on(tokens_relayed const& input)
 {
-    entry* const running = find(happened.id);
+    entry* const running = find(input.id);
     if (running == nullptr || running->phase != phase::running
-        || happened.tokens == 0) {
+        || input.tokens == 0) {
         return;
     }
     if (running->is_service) {
-        running->relayed += happened.tokens;
+        running->relayed_tokens += input.tokens;
         return;
     }
-    memory_forecast& memory = m_engines.groups()[running->group].memory;
-    memory.remove(*running);
-    running->relayed += happened.tokens;
-    running->attempt_tokens += happened.tokens;
+    memory_forecast& forecast = m_engines.groups()[running->group].kv_forecast;
+    forecast.remove(*running);
+    running->relayed_tokens += input.tokens;
+    running->attempt_tokens += input.tokens;
     charge_overrun(*running);
-    memory.add(*running);
+    forecast.add(*running);
     engine_state& engine = m_engines.at(running->upstream);
     if (running->first_token == model::time_point{}) {
         running->first_token = m_now;
-        engine.first_token(running->prefill);
-        running->prefill = 0.0;
+        engine.record_first_token(running->pending_prefill_tokens);
+        running->pending_prefill_tokens = 0.0;
     } else {
-        model::seconds const gap =
-            (m_now - running->last_token) / happened.tokens;
-        engine.between_tokens(gap, tightest_gap(running->group), m_now);
-        judge(running->upstream);
+        model::seconds const gap = (m_now - running->last_token) / input.tokens;
+        engine.record_token_gap(
+            gap, min_inter_token_target(running->group), m_now);
+        check_engine_health(running->upstream);
     }
     running->last_token = m_now;
-    index const place = running->upstream;
-    m_engines.refresh(place, m_now);
-    drain_engine(place);
+    index const upstream_index = running->upstream;
+    m_engines.refresh(upstream_index, m_now);
+    dispatch_for_engine(upstream_index);
 }
 
-void core::on(attempt_ended const& happened)
+void core::on(attempt_ended const& input)
 {
-    entry* const running = find(happened.id);
+    entry* const running = find(input.id);
     if (running == nullptr || running->phase != phase::running) {
         return;
     }
-    index const place = running->upstream;
+    index const upstream_index = running->upstream;
     bool const is_service = running->is_service;
-    std::string const& name =
-        is_service ? m_services.name(place) : m_engines.at(place).name;
-    if (name != happened.upstream) {
+    std::string const& name = is_service ? m_services.name(upstream_index)
+                                         : m_engines.at(upstream_index).name;
+    if (name != input.upstream) {
         return;
     }
     release(*running);
-    running->relayed = std::max(running->relayed, happened.relayed_tokens);
-    switch (happened.end) {
+    running->relayed_tokens =
+        std::max(running->relayed_tokens, input.relayed_tokens);
+    switch (input.end) {
     case attempt_end::complete:
-        end_whole(*running, happened);
+        end_complete(*running, input);
         break;
     case attempt_end::unreachable:
         if (!is_service) {
             // Nobody may have been there to tell that the engine went away;
             // without this each retry finds it the emptiest of all.
-            lose(place);
+            mark_lost(upstream_index);
         }
-        end_not_run(*running, place);
+        end_not_run(*running, upstream_index);
         break;
     case attempt_end::refused:
-        end_not_run(*running, place);
+        end_not_run(*running, upstream_index);
         break;
     case attempt_end::broken:
-        end_broken(*running, place);
+        end_broken(*running, upstream_index);
         break;
     case attempt_end::failed:
         running->may_have_run = true;
@@ -100,55 +101,56 @@
         break;
     }
     if (!is_service) {
-        drain_engine(place);
+        dispatch_for_engine(upstream_index);
     }
 }
 
-void core::on(request_cancelled const& happened)
+void core::on(request_cancelled const& input)
 {
-    entry* const gone = find(happened.id);
-    if (gone == nullptr) {
+    entry* const cancelled = find(input.id);
+    if (cancelled == nullptr) {
         return;
     }
-    if (gone->phase == phase::queued) {
-        dequeue(*gone);
-        finish(*gone);
+    if (cancelled->phase == phase::queued) {
+        dequeue(*cancelled);
+        finish(*cancelled);
         return;
     }
-    if (gone->phase == phase::handed_over) {
-        m_expiries.erase({gone->expires, gone->id});
-        finish(*gone);
+    if (cancelled->phase == phase::handed_over) {
+        m_expiries.erase({cancelled->expires, cancelled->id});
+        finish(*cancelled);
         return;
     }
     // Nobody reads the answer any more: each further token would be waste.
-    index const place = gone->upstream;
-    bool const is_service = gone->is_service;
-    m_out->emplace_back(cancel_attempt{gone->id,
-                                       is_service ? m_services.name(place)
-                                                  : m_engines.at(place).name,
+    index const upstream_index = cancelled->upstream;
+    bool const is_service = cancelled->is_service;
+    m_out->emplace_back(cancel_attempt{cancelled->id,
+                                       is_service
+                                           ? m_services.name(upstream_index)
+                                           : m_engines.at(upstream_index).name,
                                        "caller_left"});
-    release(*gone);
-    finish(*gone);
+    release(*cancelled);
+    finish(*cancelled);
     if (!is_service) {
-        drain_engine(place);
+        dispatch_for_engine(upstream_index);
     }
 }
 
 void core::release(entry& running)
 {
     if (running.is_service) {
-        m_services.ended(running.upstream);
+        m_services.record_end(running.upstream);
         return;
     }
     engine_state& engine = m_engines.at(running.upstream);
-    engine.ended(running.id, running.prefill, m_now);
-    running.prefill = 0.0;
+    engine.record_end(running.id, running.pending_prefill_tokens, m_now);
+    running.pending_prefill_tokens = 0.0;
     if (running.suspect && engine.suspects > 0) {
         --engine.suspects;
-        m_quarantine.running(running.fingerprint, 0);
+        m_quarantine.set_running_engine(running.fingerprint, 0);
     }
-    m_engines.groups()[running.group].memory.remove(running);
-    m_engines.groups()[running.group].waits.ended(
+    m_engines.groups()[running.group].kv_forecast.remove(running);
+    m_engines.groups()[running.group].waits.record_end(
         std::chrono::duration_cast<model::milliseconds>(m_now
                                                         - running.dispatched));
     m_engines.refresh(running.upstream, m_now);
@@ -158,54 +160,55 @@
 {
     // Charged as the tokens come: otherwise a team whose answers turn out
     // long would get them at a short one's price until each has ended.
-    if (running.relayed > running.expected_output) {
+    if (running.relayed_tokens > running.expected_output) {
         if (!running.overran) {
             running.overran = true;
-            m_lengths.passed(
-                running.class_place,
+            m_lengths.record_overrun(
+                running.class_id,
                 running.expected_output,
-                m_policy.rules(running.class_place).max_output_tokens);
+                m_policy.rules(running.class_id).max_output_tokens);
         }
-        expect_output(running,
-                      running.relayed + running.relayed / overrun_part);
+        set_expected_output(running,
+                            running.relayed_tokens
+                                + running.relayed_tokens / overrun_divisor);
     }
 }
 
-void core::expect_output(entry& running, std::uint32_t tokens)
+void core::set_expected_output(entry& running, std::uint32_t tokens)
 {
     double const before = token_cost(running);
     running.expected_output = tokens;
-    m_engines.groups()[running.group].queue.correct(
+    m_engines.groups()[running.group].queue.adjust_charge(
         running.tier, running.team, token_cost(running) - before);
 }
 
-void core::end_whole(entry& running, attempt_ended const& happened)
+void core::end_complete(entry& running, attempt_ended const& input)
 {
     if (!running.is_service) {
         engine_state& engine = m_engines.at(running.upstream);
         if (running.attempt == 1 && running.first_token > running.dispatched) {
             double const computed =
                 static_cast<double>(running.prompt_tokens)
-                - std::min(running.prompt_tokens, happened.cached_tokens);
-            m_engines.groups()[running.group].prefill.observe(
+                - std::min(running.prompt_tokens, input.cached_tokens);
+            m_engines.groups()[running.group].prefill_estimate.observe(
                 computed, running.first_token - running.dispatched);
         }
         if (!running.prefix_blocks.empty() && running.attempt == 1) {
             // What the engine found in its cache tells how far the index can
             // be trusted with this engine.
-            double const found = happened.cached_tokens > 0 ? 1.0 : 0.5;
+            double const found = input.cached_tokens > 0 ? 1.0 : 0.5;
             engine.cache_trust += (found - engine.cache_trust) * 0.05;
         }
         if (!running.overran) {
-            m_lengths.ended(
-                running.class_place,
-                running.relayed,
-                m_policy.rules(running.class_place).max_output_tokens);
+            m_lengths.record_completed(
+                running.class_id,
+                running.relayed_tokens,
+                m_policy.rules(running.class_id).max_output_tokens);
         }
-        expect_output(running, running.relayed);
+        set_expected_output(running, running.relayed_tokens);
     }
     if (running.suspect) {
-        m_quarantine.cleared(running.fingerprint);
+        m_quarantine.clear(running.fingerprint);
     }
     finish(running);
 }
@@ -223,35 +226,35 @@
                        "send it again after the time in Retry-After");
         return;
     }
-    try_again(running, upstream, "not_run_there");
+    retry(running, upstream, "not_run_there");
 }
 
-void core::note_broken(entry& running, index upstream)
+void core::record_broken(entry& running, index upstream)
 {
     broken_attempt const attempt{running.id,
                                  running.fingerprint,
                                  upstream,
                                  m_now,
                                  running.attempt_tokens == 0};
-    if (running.blame != blame_weight::none) {
+    if (running.evidence != crash_evidence::none) {
         // Its engine was reported lost before its own end came.
         running.phase = phase::ended;
-        suspect(attempt, running.blame);
-        running.suspect = m_quarantine.suspected(running.fingerprint);
+        record_suspect(attempt, running.evidence);
+        running.suspect = m_quarantine.is_suspect(running.fingerprint);
         return;
     }
-    if (m_broken.size() >= most_broken) {
-        m_broken.erase(m_broken.begin());
+    if (m_broken_attempts.size() >= max_broken_records) {
+        m_broken_attempts.erase(m_broken_attempts.begin());
     }
-    m_broken.push_back(attempt);
+    m_broken_attempts.push_back(attempt);
 }
 
 void core::end_broken(entry& running, index upstream)
 {
     running.may_have_run = true;
-    ++running.broken;
+    ++running.broken_attempts;
     if (!running.is_service) {
-        note_broken(running, upstream);
+        record_broken(running, upstream);
     }
     if (!running.repeatable) {
         // It may have run. A second run could charge a client twice, so the
@@ -263,17 +266,17 @@
                        "look up whether it took effect before sending it anew");
         return;
     }
-    try_again(running, upstream, "broken");
+    retry(running, upstream, "broken");
 }
 
-void core::try_again(entry& waiting, index avoided, std::string const& reason)
+void core::retry(entry& waiting, index avoided, std::string const& reason)
 {
     if (refuse_quarantined(waiting)) {
         return;
     }
-    if (waiting.broken >= most_broken_attempts
-        || waiting.attempt >= most_attempts
-        || !m_retries[waiting.class_place].try_take(m_now)) {
+    if (waiting.broken_attempts >= max_broken_attempts
+        || waiting.attempt >= max_attempts
+        || !m_retries[waiting.class_id].try_acquire(m_now)) {
         refuse_request(waiting,
                        model::error_kind::upstream_failed,
                        model::milliseconds{1000},
@@ -281,20 +284,20 @@
                        "send it again after the time in Retry-After");
         return;
     }
-    waiting.avoided = avoided;
+    waiting.avoided_upstream = avoided;
     waiting.upstream = no_index;
-    waiting.blame = blame_weight::none;
+    waiting.evidence = crash_evidence::none;
     if (waiting.is_service) {
-        start_service(waiting);
+        dispatch_service_call(waiting);
         return;
     }
-    class_rules const& rules = m_policy.rules(waiting.class_place);
+    class_rules const& rules = m_policy.rules(waiting.class_id);
     // Its caller has waited already and may hold a part of the answer: it
     // keeps its place in the order and gets the longest wait anew.
     waiting.expires = m_now + rules.max_wait;
     enqueue(waiting);
     index const group = waiting.group;
-    drain(group);
+    dispatch_queued(group);
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/core_engine.cpp
+++ b/src/decide/core_engine.cpp
@@ -8,86 +8,87 @@
 
 // Engines sorted anew in one tick: all of today's; at 10,000 each comes round
 // within seconds, and its own events sort it in between.
-constexpr std::size_t engines_a_tick = 32;
+constexpr std::size_t engines_per_tick = 32;
 // A process that went away takes seconds to come back; trying sooner only
 // costs requests.
-constexpr model::milliseconds first_absence{2000};
-constexpr model::milliseconds longest_absence{30'000};
+constexpr model::milliseconds initial_lost_penalty{2000};
+constexpr model::milliseconds max_lost_penalty{30'000};
 // Good answers after which an engine on probation is taken back.
-constexpr std::uint32_t probes_needed = 3;
+constexpr std::uint32_t min_good_probes = 3;
 // An attempt that broke this long ago belongs to the same crash.
-constexpr model::milliseconds same_crash{3000};
+constexpr model::milliseconds crash_window{3000};
 // A class that has been quiet for this long no longer bounds the batches.
-constexpr model::milliseconds class_quiet{30'000};
-constexpr double trust_after_gap = 0.6;
+constexpr model::milliseconds class_idle_timeout{30'000};
+constexpr double trust_factor_after_gap = 0.6;
 
-blame_weight weigh_blame(bool early, bool any_early, bool only_one)
+crash_evidence
+assess_evidence(bool is_early, bool any_early, bool is_only_suspect)
 {
-    if (early || only_one) {
-        return blame_weight::telling;
+    if (is_early || is_only_suspect) {
+        return crash_evidence::strong;
     }
-    return any_early ? blame_weight::none : blame_weight::slight;
+    return any_early ? crash_evidence::none : crash_evidence::weak;
 }
 
 } // namespace
 
-void core::on(engine_report const& happened)
+void core::on(engine_report const& input)
 {
-    index const place = m_engines.find(happened.engine);
-    if (place == no_index) {
+    index const engine_index = m_engines.find(input.engine);
+    if (engine_index == no_index) {
         return;
     }
-    engine_state& engine = m_engines.at(place);
-    engine.report(happened);
-    if (!happened.models.empty()) {
+    engine_state& engine = m_engines.at(engine_index);
+    engine.apply_report(input);
+    if (!input.models.empty()) {
         m_engines.serve_models(
-            place, happened.models, m_policy.shares(), m_now);
+            engine_index, input.models, m_policy.shares(), m_now);
     }
-    m_engines.refresh(place, m_now);
-    drain_engine(place);
+    m_engines.refresh(engine_index, m_now);
+    dispatch_for_engine(engine_index);
 }
 
-void core::on(cache_changed const& happened)
+void core::on(cache_changed const& input)
 {
-    index const place = m_engines.find(happened.engine);
-    if (place == no_index) {
+    index const engine_index = m_engines.find(input.engine);
+    if (engine_index == no_index) {
         return;
     }
-    engine_state& engine = m_engines.at(place);
+    engine_state& engine = m_engines.at(engine_index);
     // Lost events mean blocks that came or went unseen.
     if (engine.cache_sequence != 0
-        && happened.sequence != engine.cache_sequence + 1) {
-        engine.cache_trust *= trust_after_gap;
+        && input.sequence != engine.cache_sequence + 1) {
+        engine.cache_trust *= trust_factor_after_gap;
     }
-    engine.cache_sequence = happened.sequence;
-    for (std::uint64_t const block : happened.stored) {
-        m_prefixes.store(block, place, m_now);
+    engine.cache_sequence = input.sequence;
+    for (std::uint64_t const block : input.stored) {
+        m_prefixes.store(block, engine_index, m_now);
     }
-    for (std::uint64_t const block : happened.evicted) {
-        m_prefixes.evict(block, place);
+    for (std::uint64_t const block : input.evicted) {
+        m_prefixes.evict(block, engine_index);
     }
 }
 
-void core::on(engine_lost const& happened)
+void core::on(engine_lost const& input)
 {
-    index const place = m_engines.find(happened.engine);
-    if (place == no_index) {
+    index const engine_index = m_engines.find(input.engine);
+    if (engine_index == no_index) {
         return;
     }
-    lose(place);
-    blame(place);
+    mark_lost(engine_index);
+    attribute_crash(engine_index);
 }
 
-void core::lose(index place)
+void core::mark_lost(index engine_index)
 {
-    engine_state& engine = m_engines.at(place);
+    engine_state& engine = m_engines.at(engine_index);
     if (engine.health == engine_health::lost) {
         return;
     }
     if (engine.health != engine_health::leaving) {
         engine.health = engine_health::lost;
-        engine.penalty =
-            std::clamp(engine.penalty * 2, first_absence, longest_absence);
+        engine.penalty = std::clamp(
+            engine.penalty * 2, initial_lost_penalty, max_lost_penalty);
         engine.probe_at = m_now + engine.penalty;
         engine.gap_ms.reset();
         m_out->emplace_back(
@@ -95,73 +96,80 @@
     }
     // Its cache went with its memory.
     engine.cache_trust = 0.0;
-    m_engines.refresh(place, m_now);
+    m_engines.refresh(engine_index, m_now);
 }
 
-void core::blame(index place)
+void core::attribute_crash(index engine_index)
 {
     // The cause most often strikes before its first token. Those that were
     // streaming are blamed less, and only if none here had just started: most
     // are innocent, and suspects wait for engines of their own. What is still
     // in flight is blamed once its own end says that it broke; if it turns out
     // to have found the engine gone, it had no part in this.
-    engine_state const& engine = m_engines.at(place);
-    std::vector<broken_attempt> const before = take_broken(place);
-    std::size_t involved = before.size();
-    bool any_early = std::any_of(before.begin(), before.end(), [](auto& one) {
-        return one.early;
-    });
-    for (model::request_id const id : engine.flights) {
+    engine_state const& engine = m_engines.at(engine_index);
+    std::vector<broken_attempt> const broken = extract_broken(engine_index);
+    std::size_t involved = broken.size();
+    bool any_early =
+        std::any_of(broken.begin(), broken.end(), [](auto& attempt) {
+            return attempt.is_early;
+        });
+    for (model::request_id const id : engine.in_flight) {
         entry const* const running = find(id);
         if (running != nullptr) {
             ++involved;
             any_early = any_early || running->attempt_tokens == 0;
         }
     }
-    bool const alone = involved == 1 && engine.peer_requests == 0;
-    for (model::request_id const id : engine.flights) {
+    bool const is_alone = involved == 1 && engine.peer_requests == 0;
+    for (model::request_id const id : engine.in_flight) {
         entry* const running = find(id);
         if (running != nullptr) {
-            bool const early = running->attempt_tokens == 0;
-            running->blame =
-                weigh_blame(early, any_early, alone || running->suspect);
+            bool const is_early = running->attempt_tokens == 0;
+            running->evidence = assess_evidence(
+                is_early, any_early, is_alone || running->suspect);
         }
     }
-    for (broken_attempt const& one : before) {
-        bool const known = m_quarantine.suspected(one.fingerprint);
-        suspect(one, weigh_blame(one.early, any_early, alone || known));
+    for (broken_attempt const& attempt : broken) {
+        bool const is_known_suspect =
+            m_quarantine.is_suspect(attempt.fingerprint);
+        record_suspect(attempt,
+                       assess_evidence(attempt.is_early,
+                                       any_early,
+                                       is_alone || is_known_suspect));
     }
 }
 
-std::vector<broken_attempt> core::take_broken(index place)
+std::vector<broken_attempt> core::extract_broken(index engine_index)
 {
-    std::vector<broken_attempt> taken;
-    std::vector<broken_attempt> kept;
-    for (broken_attempt const& one : m_broken) {
-        if (m_now - one.at > same_crash) {
+    std::vector<broken_attempt> matching;
+    std::vector<broken_attempt> others;
+    for (broken_attempt const& attempt : m_broken_attempts) {
+        if (m_now - attempt.at > crash_window) {
             continue;
         }
-        (one.engine == place ? taken : kept).push_back(one);
+        (attempt.engine == engine_index ? matching : others).push_back(attempt);
     }
-    m_broken = std::move(kept);
-    return taken;
+    m_broken_attempts = std::move(others);
+    return matching;
 }
 
-void core::suspect(broken_attempt const& attempt, blame_weight weight)
+void core::record_suspect(broken_attempt const& attempt,
+                          crash_evidence evidence)
 {
-    if (weight == blame_weight::none) {
+    if (evidence == crash_evidence::none) {
         return;
     }
     std::uint64_t const fingerprint = attempt.fingerprint;
-    bool const telling = weight == blame_weight::telling;
-    if (m_quarantine.crashed(fingerprint, attempt.engine, telling, m_now)) {
+    bool const is_strong = evidence == crash_evidence::strong;
+    if (m_quarantine.record_crash(
+            fingerprint, attempt.engine, is_strong, m_now)) {
         m_out->emplace_back(quarantine_request{
             fingerprint,
             m_now + m_quarantine.remaining(fingerprint, m_now),
             "second_crash"});
     }
     entry* const waiting = find(attempt.id);
-    if (waiting == nullptr || !m_quarantine.suspected(fingerprint)) {
+    if (waiting == nullptr || !m_quarantine.is_suspect(fingerprint)) {
         return;
     }
     if (waiting->phase == phase::queued) {
@@ -177,74 +185,75 @@
     }
 }
 
-void core::judge(index place)
+void core::check_engine_health(index engine_index)
 {
-    engine_state& engine = m_engines.at(place);
+    engine_state& engine = m_engines.at(engine_index);
     if (engine.health == engine_health::probing) {
-        if (++engine.probes >= probes_needed) {
+        if (++engine.good_probes >= min_good_probes) {
             engine.health = engine_health::good;
             m_out->emplace_back(readmit_engine{engine.name, "probes_good"});
-            m_engines.refresh(place, m_now);
+            m_engines.refresh(engine_index, m_now);
         }
         return;
     }
-    if (m_outliers.slow(m_engines, place, m_now)) {
-        eject(place);
+    if (m_outliers.is_outlier(m_engines, engine_index, m_now)) {
+        eject(engine_index);
     }
 }
 
-void core::eject(index place)
+void core::eject(index engine_index)
 {
-    engine_state& engine = m_engines.at(place);
+    engine_state& engine = m_engines.at(engine_index);
     engine.health = engine_health::ejected;
-    engine.probe_at = m_now + outlier_detector::penalty(engine);
+    engine.probe_at = m_now + outlier_detector::next_penalty(engine);
     engine.gap_ms.reset();
     m_out->emplace_back(
         eject_engine{engine.name, engine.probe_at, "slow_against_peers"});
-    m_engines.refresh(place, m_now);
+    m_engines.refresh(engine_index, m_now);
 }
 
-void core::revisit_engines()
+void core::poll_engines()
 {
-    std::size_t const count = std::min(m_engines.size(), engines_a_tick);
-    for (std::size_t looked = 0; looked < count; ++looked) {
-        m_next_engine = (m_next_engine + 1) % m_engines.size();
-        auto const place = static_cast<index>(m_next_engine);
-        probe(place);
-        m_engines.renew_allowance(place, m_position, m_now);
-        drain_engine(place);
+    std::size_t const count = std::min(m_engines.size(), engines_per_tick);
+    for (std::size_t checked = 0; checked < count; ++checked) {
+        m_next_polled_engine = (m_next_polled_engine + 1) % m_engines.size();
+        auto const engine_index = static_cast<index>(m_next_polled_engine);
+        start_probing(engine_index);
+        m_engines.renew_allowance(engine_index, m_position, m_now);
+        dispatch_for_engine(engine_index);
     }
 }
 
-void core::probe(index place)
+void core::start_probing(index engine_index)
 {
-    engine_state& engine = m_engines.at(place);
-    bool const out = engine.health == engine_health::ejected
-                     || engine.health == engine_health::lost;
-    if (out && m_now >= engine.probe_at) {
+    engine_state& engine = m_engines.at(engine_index);
+    bool const is_out = engine.health == engine_health::ejected
+                        || engine.health == engine_health::lost;
+    if (is_out && m_now >= engine.probe_at) {
         engine.health = engine_health::probing;
-        engine.probes = 0;
+        engine.good_probes = 0;
     }
 }
 
-void core::drain_engine(index place)
+void core::dispatch_for_engine(index engine_index)
 {
-    for (index const group : m_engines.at(place).groups) {
+    for (index const group : m_engines.at(engine_index).groups) {
         if (m_engines.groups()[group].queue.size() > 0) {
-            drain(group);
+            dispatch_queued(group);
         }
     }
 }
 
-model::milliseconds core::tightest_gap(index /*group*/) const
+model::milliseconds core::min_inter_token_target(index /*group*/) const
 {
-    model::milliseconds tightest = model::milliseconds::max();
-    for (index place = 0; place < m_class_seen.size(); ++place) {
-        if (m_now - m_class_seen[place] < class_quiet) {
-            tightest = std::min(tightest, m_policy.rules(place).between_tokens);
+    model::milliseconds min_target = model::milliseconds::max();
+    for (index class_id = 0; class_id < m_class_last_seen.size(); ++class_id) {
+        if (m_now - m_class_last_seen[class_id] < class_idle_timeout) {
+            min_target = std::min(min_target,
+                                  m_policy.rules(class_id).inter_token_target);
         }
     }
-    return tightest;
+    return min_target;
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/core_peer.cpp
+++ b/src/decide/core_peer.cpp
@@ -10,15 +10,15 @@
 
 // Digests come several times a second; a host silent for this long is gone
 // or cut off, and what it had can't be relied on either way.
-constexpr model::milliseconds digest_valid{3000};
-constexpr std::size_t peers_a_tick = 8;
+constexpr model::milliseconds digest_lifetime{3000};
+constexpr std::size_t peers_per_tick = 8;
 constexpr double prefill_unit = 16.0;
 
 template <typename Small>
 Small saturate(std::size_t value)
 {
-    constexpr std::size_t most = std::numeric_limits<Small>::max();
-    return static_cast<Small>(std::min(value, most));
+    constexpr std::size_t max_value = std::numeric_limits<Small>::max();
+    return static_cast<Small>(std::min(value, max_value));
 }
 
 void add(std::uint32_t& sum, std::uint32_t amount, int sign)
@@ -32,149 +32,149 @@
 
 } // namespace
 
-void core::on(digest_received const& happened)
+void core::on(digest_received const& input)
 {
     digest load;
-    if (happened.host == m_settings.host || !decode(happened.bytes, load)) {
+    if (input.host == m_settings.host || !decode(input.bytes, load)) {
         return;
     }
-    index const place = m_peer_names.intern(happened.host);
-    if (place == m_peers.size()) {
+    index const peer_index = m_peer_names.intern(input.host);
+    if (peer_index == m_peers.size()) {
         m_peers.emplace_back();
-        m_peers.back().name = happened.host;
+        m_peers.back().name = input.host;
     }
-    peer& source = m_peers[place];
-    if (source.live) {
-        count_elsewhere(source);
+    peer& sender = m_peers[peer_index];
+    if (sender.live) {
+        charge_remote_tokens(sender);
     }
-    forget_peer(source);
-    source.load = std::move(load);
-    source.heard = m_now;
-    source.live = true;
-    count_peer(source, 1);
-    add_peer_load(source, 1);
-    for (suspect_load const& one : source.load.suspects) {
-        m_quarantine.learn(one.fingerprint,
-                           one.evidence,
-                           std::chrono::seconds(one.seconds),
+    remove_peer(sender);
+    sender.load = std::move(load);
+    sender.received_at = m_now;
+    sender.live = true;
+    update_position(sender, 1);
+    add_peer_load(sender, 1);
+    for (suspect_load const& item : sender.load.suspects) {
+        m_quarantine.merge(item.fingerprint,
+                           item.evidence,
+                           std::chrono::seconds(item.seconds),
                            m_now);
     }
-    for (engine_load const& one : source.load.engines) {
-        index const engine = m_engines.find_hash(one.engine_hash);
+    for (engine_load const& item : sender.load.engines) {
+        index const engine = m_engines.find_hash(item.engine_hash);
         if (engine != no_index) {
             m_engines.refresh(engine, m_now);
         }
     }
 }
 
-void core::on(host_lost const& happened)
+void core::on(host_lost const& input)
 {
-    index const place = m_peer_names.find(happened.host);
-    if (place != no_index) {
-        forget_peer(m_peers[place]);
+    index const peer_index = m_peer_names.find(input.host);
+    if (peer_index != no_index) {
+        remove_peer(m_peers[peer_index]);
     }
 }
 
-void core::on(hand_over_refused const& happened)
+void core::on(hand_over_refused const& input)
 {
-    entry* const returned = find(happened.id);
-    if (returned == nullptr || returned->phase != phase::handed_over) {
+    entry* const request = find(input.id);
+    if (request == nullptr || request->phase != phase::handed_over) {
         return;
     }
-    m_expiries.erase({returned->expires, returned->id});
-    returned->phase = phase::queued;
-    refuse_request(*returned,
+    m_expiries.erase({request->expires, request->id});
+    request->phase = phase::queued;
+    refuse_request(*request,
                    model::error_kind::refused,
-                   expected_wait(*returned),
-                   "refused_by_" + happened.host,
+                   expected_wait(*request),
+                   "refused_by_" + input.host,
                    "send it again after the time in Retry-After");
 }
 
 void core::add_peer_load(peer const& source, int sign)
 {
-    for (engine_load const& one : source.load.engines) {
-        index const engine = m_engines.find_hash(one.engine_hash);
+    for (engine_load const& item : source.load.engines) {
+        index const engine = m_engines.find_hash(item.engine_hash);
         if (engine != no_index) {
-            add(m_engines.at(engine).peer_requests, one.in_flight, sign);
+            add(m_engines.at(engine).peer_requests, item.in_flight, sign);
             m_engines.at(engine).add_peer_prefill(
-                sign * prefill_unit * one.prefill, m_now);
+                sign * prefill_unit * item.prefill, m_now);
         }
     }
-    for (queue_load const& one : source.load.queues) {
-        index const group = m_engines.find_model_hash(one.model_hash);
-        if (group != no_index && one.tier < m_policy.tiers()) {
+    for (queue_load const& item : source.load.queues) {
+        index const group = m_engines.find_model_hash(item.model_hash);
+        if (group != no_index && item.tier < m_policy.tiers()) {
             auto& queued = m_engines.groups()[group].peer_queued;
             auto& refused = m_engines.groups()[group].peer_refused;
-            queued.resize(std::max<std::size_t>(queued.size(), one.tier + 1));
+            queued.resize(std::max<std::size_t>(queued.size(), item.tier + 1));
             refused.resize(queued.size());
-            add(queued[one.tier], one.queued, sign);
-            add(refused[one.tier], one.refused, sign);
+            add(queued[item.tier], item.queued, sign);
+            add(refused[item.tier], item.refused, sign);
         }
     }
-    for (suspect_load const& one : source.load.suspects) {
-        index const engine = m_engines.find_hash(one.engine_hash);
-        if (engine != no_index && one.engine_hash != 0) {
+    for (suspect_load const& item : source.load.suspects) {
+        index const engine = m_engines.find_hash(item.engine_hash);
+        if (engine != no_index && item.engine_hash != 0) {
             add(m_engines.at(engine).peer_suspects, 1, sign);
         }
     }
-    for (team_load const& one : source.load.teams) {
-        auto const found = m_team_hashes.find(one.team_hash);
+    for (team_load const& item : source.load.teams) {
+        auto const found = m_team_hashes.find(item.team_hash);
         if (found == m_team_hashes.end()) {
             continue;
         }
         rate_limiter& limiter = m_teams[found->second].limiter;
-        limiter.peer_requests =
-            std::max(0.0,
-                     limiter.peer_requests
-                         + sign * static_cast<double>(one.requests_per_second));
+        limiter.peer_requests = std::max(
+            0.0,
+            limiter.peer_requests
+                + sign * static_cast<double>(item.requests_per_second));
         limiter.peer_tokens =
             std::max(0.0,
                      limiter.peer_tokens
-                         + sign * static_cast<double>(one.tokens_per_second));
-        add(limiter.peer_concurrent, one.concurrent, sign);
+                         + sign * static_cast<double>(item.tokens_per_second));
+        add(limiter.peer_concurrent, item.concurrent, sign);
     }
 }
 
-void core::forget_peer(peer& gone)
+void core::remove_peer(peer& removed)
 {
-    if (!gone.live) {
+    if (!removed.live) {
         return;
     }
-    add_peer_load(gone, -1);
-    gone.live = false;
-    count_peer(gone, -1);
+    add_peer_load(removed, -1);
+    removed.live = false;
+    update_position(removed, -1);
 }
 
-void core::count_elsewhere(peer const& source)
+void core::charge_remote_tokens(peer const& source)
 {
-    model::seconds const span = m_now - source.heard;
-    for (team_load const& one : source.load.teams) {
-        auto const found = m_team_hashes.find(one.team_hash);
+    model::seconds const elapsed = m_now - source.received_at;
+    for (team_load const& item : source.load.teams) {
+        auto const found = m_team_hashes.find(item.team_hash);
         if (found != m_team_hashes.end()) {
-            m_elsewhere[found->second] +=
-                static_cast<double>(one.tokens_per_second) * span.count();
+            m_remote_tokens[found->second] +=
+                static_cast<double>(item.tokens_per_second) * elapsed.count();
         }
     }
 }
 
-void core::count_peer(peer const& source, int sign)
+void core::update_position(peer const& source, int sign)
 {
-    auto const change = static_cast<std::uint32_t>(sign);
-    m_position.hosts += change;
+    auto const delta = static_cast<std::uint32_t>(sign);
+    m_position.hosts += delta;
     if (source.load.region_hash == name_hash(m_settings.region)) {
-        m_position.in_region += change;
-        m_position.rank += source.name < m_settings.host ? change : 0U;
+        m_position.in_region += delta;
+        m_position.rank += source.name < m_settings.host ? delta : 0U;
     }
 }
 
-void core::revisit_peers()
+void core::poll_peers()
 {
-    std::size_t const count = std::min(m_peers.size(), peers_a_tick);
-    for (std::size_t looked = 0; looked < count; ++looked) {
-        m_next_peer = (m_next_peer + 1) % m_peers.size();
-        peer& other = m_peers[m_next_peer];
-        if (other.live && m_now - other.heard > digest_valid) {
-            forget_peer(other);
+    std::size_t const count = std::min(m_peers.size(), peers_per_tick);
+    for (std::size_t checked = 0; checked < count; ++checked) {
+        m_next_polled_peer = (m_next_polled_peer + 1) % m_peers.size();
+        peer& target = m_peers[m_next_polled_peer];
+        if (target.live && m_now - target.received_at > digest_lifetime) {
+            remove_peer(target);
         }
     }
 }
@@ -184,15 +184,15 @@
                        std::string const& plan)
 {
     std::string const name = customer + '/' + team;
-    index const place = m_team_names.intern(name);
-    if (place == m_teams.size()) {
+    index const team_id = m_team_names.intern(name);
+    if (team_id == m_teams.size()) {
         m_teams.emplace_back();
-        m_elsewhere.push_back(0.0);
+        m_remote_tokens.push_back(0.0);
         m_teams.back().hash = name_hash(name);
-        m_team_hashes.emplace(m_teams.back().hash, place);
+        m_team_hashes.emplace(m_teams.back().hash, team_id);
     }
-    m_teams[place].limits = m_policy.limits(plan);
-    return place;
+    m_teams[team_id].limits = m_policy.limits(plan);
+    return team_id;
 }
 
 std::vector<std::uint8_t> core::digest_bytes(model::time_point now) const
@@ -200,14 +200,16 @@
     digest load;
     load.region_hash = name_hash(m_settings.region);
     add_queues(load, now);
-    for (index place = 0; place < m_engines.size(); ++place) {
-        engine_state const& engine = m_engines.at(place);
-        if (engine.local() > 0 && load.engines.size() < max_digest_engines) {
+    for (index engine_index = 0; engine_index < m_engines.size();
+         ++engine_index) {
+        engine_state const& engine = m_engines.at(engine_index);
+        if (engine.local_count() > 0
+            && load.engines.size() < max_digest_engines) {
             load.engines.push_back(
                 {name_hash(engine.name),
-                 saturate<std::uint16_t>(engine.local()),
+                 saturate<std::uint16_t>(engine.local_count()),
                  saturate<std::uint16_t>(static_cast<std::size_t>(
-                     engine.own_prefill() / prefill_unit))});
+                     engine.local_prefill() / prefill_unit))});
         }
     }
     for (team_state const& team : m_teams) {
@@ -228,8 +230,9 @@
 
 void core::add_queues(digest& load, model::time_point now) const
 {
-    for (index place = 0; place < m_engines.groups().size(); ++place) {
-        model_group const& group = m_engines.groups()[place];
+    for (index group_index = 0; group_index < m_engines.groups().size();
+         ++group_index) {
+        model_group const& group = m_engines.groups()[group_index];
         for (index tier = 0; tier < group.queue.tiers(); ++tier) {
             double const refused = tier < group.refusals.size()
                                        ? group.refusals[tier].per_second(now)
@@ -238,7 +241,7 @@
             if ((group.queue.size(tier) > 0 || refused_count > 0)
                 && load.queues.size() < max_digest_queues) {
                 load.queues.push_back(
-                    {name_hash(m_engines.model(place)),
+                    {name_hash(m_engines.model(group_index)),
                      saturate<std::uint8_t>(tier),
                      saturate<std::uint16_t>(group.queue.size(tier)),
                      saturate<std::uint16_t>(refused_count)});
@@ -249,22 +252,23 @@
 
 void core::add_suspects(digest& load) const
 {
-    for (auto const& known : m_quarantine.records()) {
+    for (auto const& record : m_quarantine.records()) {
         // Only what this host has seen itself: were hosts to pass on what
         // they heard, they would keep each other's suspicions up for ever.
-        if (known.second.last_engine == no_index) {
+        if (record.second.last_engine == no_index) {
             continue;
         }
         if (load.suspects.size() >= max_digest_suspects) {
             return;
         }
-        auto const left = std::chrono::ceil<std::chrono::seconds>(
-            m_quarantine.remaining(known.first, m_now));
+        auto const remaining = std::chrono::ceil<std::chrono::seconds>(
+            m_quarantine.remaining(record.first, m_now));
         load.suspects.push_back(
-            {known.first,
-             saturate<std::uint8_t>(known.second.evidence),
-             known.second.running_on,
-             saturate<std::uint16_t>(static_cast<std::size_t>(left.count()))});
+            {record.first,
+             saturate<std::uint8_t>(record.second.evidence),
+             record.second.running_on,
+             saturate<std::uint16_t>(
+                 static_cast<std::size_t>(remaining.count()))});
     }
 }
 
--- a/src/decide/core_place.cpp
+++ b/src/decide/core_place.cpp
@@ -9,76 +9,79 @@
 
 // Dispatches for one event: one event frees little room, and the rest is
 // found by the next.
-constexpr std::size_t most_starts = 32;
-constexpr std::size_t suspects_a_tick = 16;
-constexpr std::size_t most_shed = 64;
+constexpr std::size_t max_dispatches_per_event = 32;
+constexpr std::size_t suspects_per_tick = 16;
+constexpr std::size_t max_shed_per_tick = 64;
 // Less than the time in which a digest has come round.
-constexpr model::milliseconds lower_wait{300};
+constexpr model::milliseconds lower_tier_max_wait{300};
 
 } // namespace
 
-void core::drain(index group_place)
+void core::dispatch_queued(index group_index)
 {
     // Late binding: what has no room stays here, where it can still be put
     // behind a higher tier; it starts when an engine's bound allows.
-    for (std::size_t started = 0; started < most_starts; ++started) {
-        if (!start_next(group_place)) {
+    for (std::size_t dispatched = 0; dispatched < max_dispatches_per_event;
+         ++dispatched) {
+        if (!dispatch_next(group_index)) {
             return;
         }
     }
 }
 
-bool core::start_next(index group_place)
+bool core::dispatch_next(index group_index)
 {
     for (entry* const head :
-         m_engines.groups()[group_place].queue.turns(m_elsewhere)) {
+         m_engines.groups()[group_index].queue.dispatch_order(
+             m_remote_tokens)) {
         if (head == nullptr) {
             break;
         }
-        if (hopeless(*head) && gate(*head).shut(m_now)) {
+        if (misses_deadline(*head) && gate(*head).is_closed(m_now)) {
             refuse_late(*head);
             return true;
         }
-        if (!must_yield(*head) && start(*head)) {
+        if (!must_yield(*head) && try_dispatch(*head)) {
             return true;
         }
     }
     return false;
 }
 
-void core::drain_suspects()
+void core::dispatch_suspects()
 {
     std::size_t const count =
-        std::min(m_waiting_suspects.size(), suspects_a_tick);
+        std::min(m_queued_suspects.size(), suspects_per_tick);
     std::vector<model::request_id> const waiting(
-        m_waiting_suspects.begin(),
-        m_waiting_suspects.begin() + static_cast<std::ptrdiff_t>(count));
+        m_queued_suspects.begin(),
+        m_queued_suspects.begin() + static_cast<std::ptrdiff_t>(count));
     for (model::request_id const id : waiting) {
-        entry* const one = find(id);
-        if (one == nullptr) {
+        entry* const request = find(id);
+        if (request == nullptr) {
             continue;
         }
-        auto const left = m_quarantine.remaining(one->fingerprint, m_now);
-        if (left.count() > 0) {
-            dequeue(*one);
-            refuse_quarantined(*one);
-        } else if (!m_quarantine.suspected(one->fingerprint)) {
+        auto const remaining =
+            m_quarantine.remaining(request->fingerprint, m_now);
+        if (remaining.count() > 0) {
+            dequeue(*request);
+            refuse_quarantined(*request);
+        } else if (!m_quarantine.is_suspect(request->fingerprint)) {
             // Another run of it ended well.
-            dequeue(*one);
-            one->suspect = false;
-            enqueue(*one);
-            drain(one->group);
-        } else if (!higher_waits(*one)) {
-            start(*one);
+            dequeue(*request);
+            request->suspect = false;
+            enqueue(*request);
+            dispatch_queued(request->group);
+        } else if (!is_higher_tier_queued(*request)) {
+            try_dispatch(*request);
         }
     }
 }
 
-void core::shed_late(index group_place)
+void core::shed_late(index group_index)
 {
-    model_group& group = m_engines.groups()[group_place];
+    model_group& group = m_engines.groups()[group_index];
     for (index tier = 0; tier < group.queue.tiers(); ++tier) {
-        for (std::size_t looked = 0; looked < most_shed; ++looked) {
+        for (std::size_t checked = 0; checked < max_shed_per_tick; ++checked) {
             auto const& arrivals = group.queue.queue(tier).arrivals();
             if (arrivals.empty()) {
                 if (tier < group.gates.size()) {
@@ -87,17 +90,17 @@
                 break;
             }
             entry& oldest = *arrivals.front();
-            bool const late = hopeless(oldest);
-            gate(oldest).observe(late, m_now);
+            bool const is_late = misses_deadline(oldest);
+            gate(oldest).observe(is_late, m_now);
             // While a higher tier is refused anywhere, lower work doesn't pile
             // up in the places that it could have had: it starts within its
             // share at once, or is told to come back.
-            bool const in_the_way = oldest.attempt == 0
-                                    && !group.queue.owed(oldest)
-                                    && m_now - oldest.queued_at > lower_wait
-                                    && higher_refused(oldest);
-            bool const given_up = late && gate(oldest).shut(m_now);
-            if (!given_up && !in_the_way) {
+            bool const blocks_higher_tier =
+                oldest.attempt == 0 && !group.queue.is_below_share(oldest)
+                && m_now - oldest.queued_at > lower_tier_max_wait
+                && is_higher_tier_refused(oldest);
+            bool const is_shed = is_late && gate(oldest).is_closed(m_now);
+            if (!is_shed && !blocks_higher_tier) {
                 break;
             }
             refuse_late(oldest);
@@ -105,7 +108,7 @@
     }
 }
 
-bool core::higher_waits(entry const& waiting) const
+bool core::is_higher_tier_queued(entry const& waiting) const
 {
     // A suspect stands outside the queue; unless it had been running, that
     // must not bring it ahead of a higher tier.
@@ -124,7 +127,7 @@
     // tier on another host waits for. It goes first there, unless this tier
     // has earned its guaranteed share.
     model_group const& group = m_engines.groups()[waiting.group];
-    if (group.queue.owed(waiting)) {
+    if (group.queue.is_below_share(waiting)) {
         return false;
     }
     for (index tier = 0; tier < waiting.tier; ++tier) {
@@ -135,45 +138,48 @@
     return false;
 }
 
-bool core::start(entry& waiting)
+bool core::try_dispatch(entry& waiting)
 {
-    waiting.owed = m_engines.groups()[waiting.group].queue.owed(waiting);
+    waiting.below_share =
+        m_engines.groups()[waiting.group].queue.is_below_share(waiting);
     placement chosen =
         m_placer.place(waiting, m_engines, m_prefixes, m_policy.tiers(), m_now);
     if (chosen.engine == no_index) {
         return false;
     }
-    m_placer.use(chosen, m_now);
+    m_placer.charge_link(chosen, m_now);
     dequeue(waiting);
     model_group& group = m_engines.groups()[waiting.group];
     if (!waiting.suspect) {
-        group.queue.serve(waiting, token_cost(waiting), m_now);
+        group.queue.record_served(waiting, token_cost(waiting), m_now);
     }
-    group.waits.started();
-    group.memory.add(waiting);
+    group.waits.record_start();
+    group.kv_forecast.add(waiting);
     engine_state& engine = m_engines.at(chosen.engine);
     waiting.upstream = chosen.engine;
-    waiting.prefill = chosen.prefill;
-    engine.dispatched(waiting.id, chosen.prefill, m_now);
+    waiting.pending_prefill_tokens = chosen.prefill_tokens;
+    engine.record_dispatch(waiting.id, chosen.prefill_tokens, m_now);
 
     if (waiting.suspect) {
         ++engine.suspects;
-        m_quarantine.running(waiting.fingerprint, name_hash(engine.name));
+        m_quarantine.set_running_engine(waiting.fingerprint,
+                                        name_hash(engine.name));
     }
     for (std::uint64_t const block : waiting.prefix_blocks) {
         m_prefixes.store(block, chosen.engine, m_now);
     }
     m_engines.refresh(chosen.engine, m_now);
-    send(waiting, std::move(chosen), "predicted_first_token");
+    emit_dispatch(waiting, std::move(chosen), "predicted_first_token");
     return true;
 }
 
-bool core::start_service(entry& waiting)
+bool core::dispatch_service_call(entry& waiting)
 {
     bool const listed =
         waiting.group != no_index && m_services.has_instances(waiting.group);
     index const chosen =
-        listed ? m_services.choose(waiting.group, waiting.avoided) : no_index;
+        listed ? m_services.choose(waiting.group, waiting.avoided_upstream)
+               : no_index;
     if (chosen == no_index) {
         refuse_request(waiting,
                        listed ? model::error_kind::refused
@@ -184,14 +190,14 @@
         return false;
     }
     waiting.upstream = chosen;
-    m_services.started(chosen);
-    placement placed;
-    placed.engine = chosen;
-    send(waiting, std::move(placed), "least_outstanding");
+    m_services.record_start(chosen);
+    placement selected;
+    selected.engine = chosen;
+    emit_dispatch(waiting, std::move(selected), "least_outstanding");
     return true;
 }
 
-void core::send(entry& waiting, placement chosen, std::string reason)
+void core::emit_dispatch(entry& waiting, placement chosen, std::string reason)
 {
     waiting.phase = phase::running;
     waiting.dispatched = m_now;
@@ -205,7 +211,7 @@
     m_out->emplace_back(dispatch{waiting.id,
                                  upstream,
                                  waiting.tier,
-                                 waiting.relayed,
+                                 waiting.relayed_tokens,
                                  waiting.attempt,
                                  std::move(chosen.candidates),
                                  std::move(reason)});
--- a/src/decide/core_refuse.cpp
+++ b/src/decide/core_refuse.cpp
@@ -9,18 +9,19 @@
 
 // A refusal's Retry-After: not so short that resends add to the burst that
 // caused it, not so long that a desk gives up the sale.
-constexpr model::milliseconds least_retry_after{250};
-constexpr model::milliseconds most_retry_after{600'000};
+constexpr model::milliseconds min_retry_after{250};
+constexpr model::milliseconds max_retry_after{600'000};
 // Overload that has lasted longer is not foretold further than this.
-constexpr model::milliseconds longest_forecast{300'000};
+constexpr model::milliseconds max_forecast{300'000};
 // A tier counts as being refused while more than a stray one is.
 constexpr model::milliseconds refusal_horizon{2000};
-constexpr double refusing_rate = 0.1;
-constexpr char const* come_back = "send it again after the time in Retry-After";
+constexpr double min_refusal_rate = 0.1;
+constexpr char const* retry_remedy =
+    "send it again after the time in Retry-After";
 
 model::milliseconds clamp_retry(model::milliseconds wait)
 {
-    return std::clamp(wait, least_retry_after, most_retry_after);
+    return std::clamp(wait, min_retry_after, max_retry_after);
 }
 
 } // namespace
@@ -34,7 +35,7 @@
     return gates[waiting.tier];
 }
 
-bool core::hopeless(entry const& waiting) const
+bool core::misses_deadline(entry const& waiting) const
 {
     // What has been handed to an engine before is owed its end.
     if (waiting.attempt > 0) {
@@ -42,35 +43,35 @@
     }
     model_group const& group = m_engines.groups()[waiting.group];
     model::seconds const prefill{waiting.prompt_tokens
-                                 / group.prefill.tokens_per_second()};
+                                 / group.prefill_estimate.tokens_per_second()};
     return m_now + prefill >= waiting.deadline;
 }
 
-bool core::higher_refused(entry const& waiting)
+bool core::is_higher_tier_refused(entry const& waiting)
 {
     model_group const& group = m_engines.groups()[waiting.group];
     for (index tier = 0; tier < waiting.tier; ++tier) {
-        bool const here =
+        bool const refused_locally =
             tier < group.refusals.size()
-            && group.refusals[tier].per_second(m_now) > refusing_rate;
-        bool const elsewhere =
+            && group.refusals[tier].per_second(m_now) > min_refusal_rate;
+        bool const refused_by_peers =
             tier < group.peer_refused.size() && group.peer_refused[tier] > 0;
-        if (here || elsewhere) {
+        if (refused_locally || refused_by_peers) {
             return true;
         }
     }
     return false;
 }
 
-model::milliseconds core::time_to_come_back(entry const& waiting)
+model::milliseconds core::retry_delay(entry const& waiting)
 {
     // Nobody knows when overload ends. If spells of all lengths are alike, one
     // that has lasted for a time is over within twice that time in two cases
     // out of three. An earlier resend would most likely be refused once more,
     // or take the place of a fresh request that can still be in time.
-    auto const lasting = 2 * gate(waiting).shut_for(m_now);
-    return std::min(longest_forecast,
-                    std::max(expected_wait(waiting), lasting));
+    auto const expected_remaining = 2 * gate(waiting).closed_for(m_now);
+    return std::min(max_forecast,
+                    std::max(expected_wait(waiting), expected_remaining));
 }
 
 void core::refuse_late(entry& waiting)
@@ -78,17 +79,17 @@
     // Given up on, so it is told at once; waiting on would only keep its
     // caller from coming back when there is room.
     dequeue(waiting);
-    if (hand_to_peer(waiting, "late_here")) {
+    if (try_hand_over(waiting, "late_here")) {
         return;
     }
     refuse_request(waiting,
                    model::error_kind::refused,
-                   time_to_come_back(waiting),
+                   retry_delay(waiting),
                    "target_missed_under_overload",
-                   come_back);
+                   retry_remedy);
 }
 
-void core::make_room(entry const& arriving)
+void core::evict_if_full(entry const& arriving)
 {
     // Made for a flood: memory is bounded, and what has to go is the lowest
     // tier's newest, which has waited least and was promised least.
@@ -108,9 +109,9 @@
             dequeue(evicted);
             refuse_request(evicted,
                            model::error_kind::refused,
-                           time_to_come_back(evicted),
+                           retry_delay(evicted),
                            "evicted",
-                           come_back);
+                           retry_remedy);
             return;
         }
     }
@@ -135,7 +136,7 @@
             refusals.emplace_back(refusal_horizon);
         }
         refusals[waiting.tier].add(1.0, m_now);
-        gate(waiting).refused(m_now);
+        gate(waiting).record_refusal(m_now);
     }
     auto const outcome = waiting.may_have_run ? model::outcome::unknown
                                               : model::outcome::not_run;
@@ -150,9 +151,10 @@
 
 void core::finish(entry& done)
 {
-    if (done.limited) {
+    if (done.counts_in_limits) {
         double const used = done.attempt == 0 ? 0.0 : token_cost(done);
-        m_teams[done.team].limiter.ended(used - done.charged, m_now);
+        m_teams[done.team].limiter.record_end(used - done.charged_tokens,
+                                              m_now);
     }
     m_entries.erase(done.id);
 }
--- a/src/decide/decision_text.cpp
+++ b/src/decide/decision_text.cpp
@@ -14,76 +14,82 @@
     return pair(key, std::to_string(value));
 }
 
-std::string text(dispatch const& made)
+std::string text(dispatch const& decision_made)
 {
-    std::string line =
-        "dispatch" + pair("id", made.id.value) + pair("upstream", made.upstream)
-        + pair("priority", made.priority) + pair("offset", made.resume_offset)
-        + pair("attempt", made.attempt);
-    return line + pair("reason", made.reason);
+    std::string line = "dispatch" + pair("id", decision_made.id.value)
+                       + pair("upstream", decision_made.upstream)
+                       + pair("priority", decision_made.priority)
+                       + pair("offset", decision_made.resume_offset)
+                       + pair("attempt", decision_made.attempt);
+    return line + pair("reason", decision_made.reason);
 }
 
-std::string text(queued const& made)
+std::string text(queued const& decision_made)
 {
-    return "queued" + pair("id", made.id.value)
-           + pair("position", made.position) + pair("reason", made.reason);
+    return "queued" + pair("id", decision_made.id.value)
+           + pair("position", decision_made.position)
+           + pair("reason", decision_made.reason);
 }
 
-std::string text(refuse const& made)
+std::string text(refuse const& decision_made)
 {
-    return "refuse" + pair("id", made.id.value)
-           + pair("kind", std::string(model::to_string(made.kind)))
-           + pair("outcome", std::string(model::to_string(made.outcome)))
+    return "refuse" + pair("id", decision_made.id.value)
+           + pair("kind", std::string(model::to_string(decision_made.kind)))
+           + pair("outcome",
+                  std::string(model::to_string(decision_made.outcome)))
            + pair("retry_after_ms",
-                  static_cast<std::uint64_t>(made.retry_after.count()))
-           + pair("reason", made.reason);
+                  static_cast<std::uint64_t>(decision_made.retry_after.count()))
+           + pair("reason", decision_made.reason);
 }
 
-std::string text(cancel_attempt const& made)
+std::string text(cancel_attempt const& decision_made)
 {
-    return "cancel_attempt" + pair("id", made.id.value)
-           + pair("upstream", made.upstream) + pair("reason", made.reason);
+    return "cancel_attempt" + pair("id", decision_made.id.value)
+           + pair("upstream", decision_made.upstream)
+           + pair("reason", decision_made.reason);
 }
 
-std::string text(hand_over const& made)
+std::string text(hand_over const& decision_made)
 {
-    return "hand_over" + pair("id", made.id.value) + pair("host", made.host)
-           + pair("reason", made.reason);
+    return "hand_over" + pair("id", decision_made.id.value)
+           + pair("host", decision_made.host)
+           + pair("reason", decision_made.reason);
 }
 
-std::string text(eject_engine const& made)
+std::string text(eject_engine const& decision_made)
 {
-    return "eject_engine" + pair("engine", made.engine)
-           + pair("reason", made.reason);
+    return "eject_engine" + pair("engine", decision_made.engine)
+           + pair("reason", decision_made.reason);
 }
 
-std::string text(readmit_engine const& made)
+std::string text(readmit_engine const& decision_made)
 {
-    return "readmit_engine" + pair("engine", made.engine)
-           + pair("reason", made.reason);
+    return "readmit_engine" + pair("engine", decision_made.engine)
+           + pair("reason", decision_made.reason);
 }
 
-std::string text(quarantine_request const& made)
+std::string text(quarantine_request const& decision_made)
 {
-    return "quarantine_request" + pair("fingerprint", made.fingerprint)
-           + pair("reason", made.reason);
+    return "quarantine_request" + pair("fingerprint", decision_made.fingerprint)
+           + pair("reason", decision_made.reason);
 }
 
-std::string text(shift_model const& made)
+std::string text(shift_model const& decision_made)
 {
-    return "shift_model" + pair("engine", made.engine)
-           + pair("model", made.model) + pair("reason", made.reason);
+    return "shift_model" + pair("engine", decision_made.engine)
+           + pair("model", decision_made.model)
+           + pair("reason", decision_made.reason);
 }
 
 } // namespace
 
-std::string to_text(decision const& made)
+std::string to_text(decision const& decision_made)
 {
     return std::visit(
-        [](auto const& one) {
-            return text(one);
+        [](auto const& alternative) {
+            return text(alternative);
         },
-        made);
+        decision_made);
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/digest.cpp
+++ b/src/decide/digest.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr std::uint32_t version_mark = 0x32444a43;
+constexpr std::uint32_t format_magic = 0x32444a43;
 
 class writer
 {
 public:
     template <typename Number>
-    void put(Number value)
+    void write(Number value)
     {
         static_assert(std::is_arithmetic_v<Number>);
         std::size_t const end = m_bytes.size();
@@ -26,7 +26,7 @@
 
     std::vector<std::uint8_t> finish()
     {
-        put(XXH32(m_bytes.data(), m_bytes.size(), version_mark));
+        write(XXH32(m_bytes.data(), m_bytes.size(), format_magic));
         return std::move(m_bytes);
     }
 
@@ -39,80 +39,80 @@
 public:
     reader(std::uint8_t const* bytes, std::size_t size)
         : m_bytes(bytes)
-        , m_left(size)
+        , m_remaining(size)
     {
     }
 
     template <typename Number>
-    void take(Number& value)
+    void read(Number& value)
     {
-        if (m_left < sizeof value) {
-            m_good = false;
+        if (m_remaining < sizeof value) {
+            m_valid = false;
             return;
         }
         std::memcpy(&value, m_bytes, sizeof value);
         m_bytes += sizeof value;
-        m_left -= sizeof value;
+        m_remaining -= sizeof value;
     }
 
     /// A count of parts, at most `most`; 0 if it is not believable.
-    std::size_t count(std::size_t most)
+    std::size_t read_count(std::size_t max_count)
     {
-        std::uint16_t found = 0;
-        take(found);
-        if (found > most) {
-            m_good = false;
+        std::uint16_t value = 0;
+        read(value);
+        if (value > max_count) {
+            m_valid = false;
         }
-        return m_good ? found : 0;
+        return m_valid ? value : 0;
     }
 
     bool finished() const
     {
-        return m_good && m_left == 0;
+        return m_valid && m_remaining == 0;
     }
 
 private:
     std::uint8_t const* m_bytes;
-    std::size_t m_left;
-    bool m_good = true;
+    std::size_t m_remaining;
+    bool m_valid = true;
 };
 
 // A rate that is no number would spread into every sum it is added to.
-bool believable(float rate)
+bool is_valid_rate(float rate)
 {
     return std::isfinite(rate) && rate >= 0.0F && rate < 1e9F;
 }
 
-bool intact(std::vector<std::uint8_t> const& bytes)
+bool has_valid_checksum(std::vector<std::uint8_t> const& bytes)
 {
-    std::uint32_t found = 0;
-    if (bytes.size() < sizeof found) {
+    std::uint32_t value = 0;
+    if (bytes.size() < sizeof value) {
         return false;
     }
-    std::size_t const body = bytes.size() - sizeof found;
-    std::memcpy(&found, bytes.data() + body, sizeof found);
-    return found == XXH32(bytes.data(), body, version_mark);
+    std::size_t const body = bytes.size() - sizeof value;
+    std::memcpy(&value, bytes.data() + body, sizeof value);
+    return value == XXH32(bytes.data(), body, format_magic);
 }
 
-void put_suspects(writer& out, std::vector<suspect_load> const& suspects)
+void write_suspects(writer& output, std::vector<suspect_load> const& suspects)
 {
-    out.put(static_cast<std::uint16_t>(suspects.size()));
-    for (suspect_load const& one : suspects) {
-        out.put(one.fingerprint);
-        out.put(one.evidence);
-        out.put(one.engine_hash);
-        out.put(one.seconds);
+    output.write(static_cast<std::uint16_t>(suspects.size()));
+    for (suspect_load const& item : suspects) {
+        output.write(item.fingerprint);
+        output.write(item.evidence);
+        output.write(item.engine_hash);
+        output.write(item.seconds);
     }
 }
 
-void take_suspects(reader& in, std::vector<suspect_load>& suspects)
+void read_suspects(reader& input, std::vector<suspect_load>& suspects)
 {
-    suspects.resize(in.count(max_digest_suspects));
-    for (suspect_load& one : suspects) {
-        in.take(one.fingerprint);
-        in.take(one.evidence);
-        in.take(one.engine_hash);
-        in.take(one.seconds);
+    suspects.resize(input.read_count(max_digest_suspects));
+    for (suspect_load& item : suspects) {
+        input.read(item.fingerprint);
+        input.read(item.evidence);
+        input.read(item.engine_hash);
+        input.read(item.seconds);
     }
 }
 
@@ -120,70 +120,70 @@
 
 std::vector<std::uint8_t> encode(digest const& load)
 {
-    writer out;
-    out.put(version_mark);
-    out.put(load.region_hash);
-    out.put(static_cast<std::uint16_t>(load.queues.size()));
-    for (queue_load const& one : load.queues) {
-        out.put(one.model_hash);
-        out.put(one.tier);
-        out.put(one.queued);
-        out.put(one.refused);
-    }
-    out.put(static_cast<std::uint16_t>(load.engines.size()));
-    for (engine_load const& one : load.engines) {
-        out.put(one.engine_hash);
-        out.put(one.in_flight);
-        out.put(one.prefill);
-    }
-    out.put(static_cast<std::uint16_t>(load.teams.size()));
-    for (team_load const& one : load.teams) {
-        out.put(one.team_hash);
-        out.put(one.tokens_per_second);
-        out.put(one.requests_per_second);
-        out.put(one.concurrent);
-    }
-    put_suspects(out, load.suspects);
-    return out.finish();
+    writer output;
+    output.write(format_magic);
+    output.write(load.region_hash);
+    output.write(static_cast<std::uint16_t>(load.queues.size()));
+    for (queue_load const& item : load.queues) {
+        output.write(item.model_hash);
+        output.write(item.tier);
+        output.write(item.queued);
+        output.write(item.refused);
+    }
+    output.write(static_cast<std::uint16_t>(load.engines.size()));
+    for (engine_load const& item : load.engines) {
+        output.write(item.engine_hash);
+        output.write(item.in_flight);
+        output.write(item.prefill);
+    }
+    output.write(static_cast<std::uint16_t>(load.teams.size()));
+    for (team_load const& item : load.teams) {
+        output.write(item.team_hash);
+        output.write(item.tokens_per_second);
+        output.write(item.requests_per_second);
+        output.write(item.concurrent);
+    }
+    write_suspects(output, load.suspects);
+    return output.finish();
 }
 
-bool decode(std::vector<std::uint8_t> const& bytes, digest& into)
+bool decode(std::vector<std::uint8_t> const& bytes, digest& result)
 {
-    if (!intact(bytes)) {
+    if (!has_valid_checksum(bytes)) {
         return false;
     }
-    reader in(bytes.data(), bytes.size() - sizeof(std::uint32_t));
-    std::uint32_t mark = 0;
-    in.take(mark);
-    if (mark != version_mark) {
+    reader input(bytes.data(), bytes.size() - sizeof(std::uint32_t));
+    std::uint32_t magic = 0;
+    input.read(magic);
+    if (magic != format_magic) {
         return false;
     }
-    in.take(into.region_hash);
-    into.queues.resize(in.count(max_digest_queues));
-    for (queue_load& one : into.queues) {
-        in.take(one.model_hash);
-        in.take(one.tier);
-        in.take(one.queued);
-        in.take(one.refused);
-    }
-    into.engines.resize(in.count(max_digest_engines));
-    for (engine_load& one : into.engines) {
-        in.take(one.engine_hash);
-        in.take(one.in_flight);
-        in.take(one.prefill);
-    }
-    into.teams.resize(in.count(max_digest_teams));
-    bool rates_good = true;
-    for (team_load& one : into.teams) {
-        in.take(one.team_hash);
-        in.take(one.tokens_per_second);
-        in.take(one.requests_per_second);
-        in.take(one.concurrent);
-        rates_good = rates_good && believable(one.tokens_per_second)
-                     && believable(one.requests_per_second);
-    }
-    take_suspects(in, into.suspects);
-    return rates_good && in.finished();
+    input.read(result.region_hash);
+    result.queues.resize(input.read_count(max_digest_queues));
+    for (queue_load& item : result.queues) {
+        input.read(item.model_hash);
+        input.read(item.tier);
+        input.read(item.queued);
+        input.read(item.refused);
+    }
+    result.engines.resize(input.read_count(max_digest_engines));
+    for (engine_load& item : result.engines) {
+        input.read(item.engine_hash);
+        input.read(item.in_flight);
+        input.read(item.prefill);
+    }
+    result.teams.resize(input.read_count(max_digest_teams));
+    bool rates_valid = true;
+    for (team_load& item : result.teams) {
+        input.read(item.team_hash);
+        input.read(item.tokens_per_second);
+        input.read(item.requests_per_second);
+        input.read(item.concurrent);
+        rates_valid = rates_valid && is_valid_rate(item.tokens_per_second)
+                      && is_valid_rate(item.requests_per_second);
+    }
+    read_suspects(input, result.suspects);
+    return rates_valid && input.finished();
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/digest.hpp
+++ b/src/decide/digest.hpp
@@ -79,7 +79,7 @@
 
 /// False, and `into` is unspecified, unless `bytes` is a whole digest of this
 /// version: bytes from another host may be of another version, or garbage.
-bool decode(std::vector<std::uint8_t> const& bytes, digest& into);
+bool decode(std::vector<std::uint8_t> const& bytes, digest& result);
 
 } // namespace caperjunction::decide
 
--- a/src/decide/open_list.hpp
+++ b/src/decide/engine_set.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_DECIDE_OPEN_LIST_HPP
-#define CAPERJUNCTION_DECIDE_OPEN_LIST_HPP
+#ifndef CAPERJUNCTION_DECIDE_ENGINE_SET_HPP
+#define CAPERJUNCTION_DECIDE_ENGINE_SET_HPP
 
 #include "decide/indices.hpp"
 
@@ -11,12 +11,12 @@
 /// A set of engines that can be sampled, changed and tested in constant time.
 ///
 /// Thread safety: none; owned by one task.
-class open_list
+class engine_set
 {
 public:
     void insert(index engine)
     {
-        auto const added = m_places.try_emplace(engine, m_engines.size());
+        auto const added = m_positions.try_emplace(engine, m_engines.size());
         if (added.second) {
             m_engines.push_back(engine);
         }
@@ -24,15 +24,15 @@
 
     void erase(index engine)
     {
-        auto const found = m_places.find(engine);
-        if (found == m_places.end()) {
+        auto const found = m_positions.find(engine);
+        if (found == m_positions.end()) {
             return;
         }
         index const last = m_engines.back();
         m_engines[found->second] = last;
-        m_places[last] = found->second;
+        m_positions[last] = found->second;
         m_engines.pop_back();
-        m_places.erase(engine);
+        m_positions.erase(engine);
     }
 
     std::vector<index> const& engines() const
@@ -47,7 +47,7 @@
 
 private:
     std::vector<index> m_engines;
-    std::unordered_map<index, std::size_t> m_places;
+    std::unordered_map<index, std::size_t> m_positions;
 };
 
 } // namespace caperjunction::decide
--- a/src/decide/engine_state.cpp
+++ b/src/decide/engine_state.cpp
@@ -14,21 +14,21 @@
 
 // An engine that doesn't say its slots starts small and widens as it proves
 // fast: too small only queues here, too large makes all its work late.
-constexpr double first_bound = 8.0;
-constexpr double least_bound = 2.0;
-constexpr double most_bound = 512.0;
+constexpr double initial_limit = 8.0;
+constexpr double min_limit = 2.0;
+constexpr double max_limit = 512.0;
 // Requests that each host risks on an engine that was slow or away.
-constexpr std::uint32_t most_probes = 2;
+constexpr std::uint32_t max_probes = 2;
 // The bound narrows fast and widens slowly: beyond the target every request
 // of the engine is late, below it some capacity lies idle.
-constexpr double narrow_above = 0.92;
-constexpr double widen_below = 0.85;
-constexpr double narrow_factor = 0.95;
-constexpr double widen_step = 0.5;
+constexpr double decrease_above = 0.92;
+constexpr double increase_below = 0.85;
+constexpr double decrease_factor = 0.95;
+constexpr double increase_step = 0.5;
 // A batch shows its new speed only after some steps; moving again before
 // that answers the same evidence twice.
-constexpr model::milliseconds narrow_pause{500};
-constexpr model::milliseconds widen_pause{200};
+constexpr model::milliseconds decrease_interval{500};
+constexpr model::milliseconds increase_interval{200};
 // Reports are worth little once the requests they counted have ended.
 constexpr double report_horizon_seconds = 2.0;
 constexpr model::milliseconds history_step{100};
@@ -42,11 +42,12 @@
 {
 }
 
-void engine_state::describe(model::engine const& listed, bool in_own_region)
+void engine_state::update_listing(model::engine const& listed,
+                                  bool in_own_region)
 {
     own_region = in_own_region;
-    if (m_bound == 0.0 || slots != listed.slots) {
-        m_bound = listed.slots > 0 ? listed.slots : first_bound;
+    if (m_concurrency_limit == 0.0 || slots != listed.slots) {
+        m_concurrency_limit = listed.slots > 0 ? listed.slots : initial_limit;
     }
     slots = listed.slots;
     if (listed.leaving) {
@@ -56,62 +57,63 @@
     }
 }
 
-void engine_state::dispatched(model::request_id id,
-                              double prefill_tokens,
-                              model::time_point now)
+void engine_state::record_dispatch(model::request_id id,
+                                   double prefill_tokens,
+                                   model::time_point now)
 {
-    remember(now);
-    flights.push_back(id);
+    record_history(now);
+    in_flight.push_back(id);
     allowance -= 1.0;
     m_pending_prefill += prefill_tokens;
 }
 
-void engine_state::first_token(double prefill_tokens)
+void engine_state::record_first_token(double prefill_tokens)
 {
     m_pending_prefill = std::max(0.0, m_pending_prefill - prefill_tokens);
 }
 
-void engine_state::between_tokens(model::seconds gap,
-                                  model::milliseconds tightest_target,
-                                  model::time_point now)
+void engine_state::record_token_gap(model::seconds gap,
+                                    model::milliseconds tightest_target,
+                                    model::time_point now)
 {
     gap_ms.add(gap.count() * 1000.0);
     double const target = std::max(1.0, to_ms(tightest_target));
     double const ratio = gap_ms.value_or(0.0) / target;
-    if (ratio > narrow_above) {
-        narrow(now);
-    } else if (ratio < widen_below && outstanding(now) + 1.0 >= m_bound) {
-        widen(now);
+    if (ratio > decrease_above) {
+        decrease_limit(now);
+    } else if (ratio < increase_below
+               && outstanding(now) + 1.0 >= m_concurrency_limit) {
+        increase_limit(now);
     }
 }
 
-void engine_state::ended(model::request_id id,
-                         double pending_prefill,
-                         model::time_point now)
+void engine_state::record_end(model::request_id id,
+                              double pending_prefill,
+                              model::time_point now)
 {
-    remember(now);
-    auto const found = std::find(flights.begin(), flights.end(), id);
-    if (found != flights.end()) {
-        *found = flights.back();
-        flights.pop_back();
+    record_history(now);
+    auto const request = std::find(in_flight.begin(), in_flight.end(), id);
+    if (request != in_flight.end()) {
+        *request = in_flight.back();
+        in_flight.pop_back();
         // Nobody else knows yet that this place is free.
         allowance = std::max(0.0, allowance) + 1.0;
     }
     m_pending_prefill =
-        flights.empty() ? 0.0
-                        : std::max(0.0, m_pending_prefill - pending_prefill);
+        in_flight.empty() ? 0.0
+                          : std::max(0.0, m_pending_prefill - pending_prefill);
 }
 
-void engine_state::report(engine_report const& report)
+void engine_state::apply_report(engine_report const& report)
 {
-    if (m_has_report && report.taken <= m_report_taken) {
+    if (m_has_report && report.measured_at <= m_report_measured_at) {
         return;
     }
     m_has_report = true;
-    m_report_taken = report.taken;
+    m_report_measured_at = report.measured_at;
     m_reported = static_cast<double>(report.running) + report.waiting;
     m_kv_used = report.kv_used;
-    m_local_at_report = local_at(report.taken);
+    m_local_count_at_report = local_count_at(report.measured_at);
 }
 
 double engine_state::outstanding(model::time_point now) const
@@ -123,25 +125,26 @@
     double others = peer_requests;
     if (m_has_report) {
         double const age =
-            std::max(0.0, model::seconds(now - m_report_taken).count());
-        double const reported = std::max(0.0, m_reported - m_local_at_report);
+            std::max(0.0, model::seconds(now - m_report_measured_at).count());
+        double const reported =
+            std::max(0.0, m_reported - m_local_count_at_report);
         others = std::max(others,
                           reported * std::exp(-age / report_horizon_seconds));
     }
-    return local() + others;
+    return local_count() + others;
 }
 
-double engine_state::bound() const
+double engine_state::concurrency_limit() const
 {
-    bool const open =
+    bool const accepts_work =
         health == engine_health::good || health == engine_health::probing;
-    return open ? m_bound : 0.0;
+    return accepts_work ? m_concurrency_limit : 0.0;
 }
 
 void engine_state::add_peer_prefill(double tokens, model::time_point now)
 {
     m_peer_prefill = std::max(0.0, m_peer_prefill + tokens);
-    m_peer_prefill_told = now;
+    m_peer_prefill_updated = now;
 }
 
 double engine_state::pending_prefill(double rate, model::time_point now) const
@@ -149,69 +152,73 @@
     // One giant prompt that another host has sent holds up a short one by a
     // second, however small the batch; it is shorter by what was computed
     // since the digest.
-    double const age = model::seconds(now - m_peer_prefill_told).count();
+    double const age = model::seconds(now - m_peer_prefill_updated).count();
     return m_pending_prefill + std::max(0.0, m_peer_prefill - rate * age);
 }
 
-bool engine_state::takes_probe() const
+bool engine_state::accepts_probe() const
 {
-    return health == engine_health::probing && local() < most_probes;
+    return health == engine_health::probing && local_count() < max_probes;
 }
 
 model::milliseconds engine_state::predict_first_token(
     double uncached_tokens, double prefill_rate, model::time_point now) const
 {
-    double const ahead = pending_prefill(prefill_rate, now) + uncached_tokens;
-    double const compute = ahead / prefill_rate * 1000.0;
-    double const full = std::max(1.0, bound());
-    double const over = std::max(0.0, outstanding(now) + 1.0 - full);
+    double const tokens_ahead =
+        pending_prefill(prefill_rate, now) + uncached_tokens;
+    double const compute = tokens_ahead / prefill_rate * 1000.0;
+    double const limit = std::max(1.0, concurrency_limit());
+    double const excess = std::max(0.0, outstanding(now) + 1.0 - limit);
     // Beyond its bound a request waits for one of the others to end.
-    double const wait = over * gap_ms.value_or(step_ms) * 4.0;
+    double const wait = excess * gap_ms.value_or(step_ms) * 4.0;
     double const step = gap_ms.value_or(step_ms);
     return model::milliseconds(
         static_cast<std::int64_t>(compute + wait + step));
 }
 
-void engine_state::remember(model::time_point now)
+void engine_state::record_history(model::time_point now)
 {
-    moment& last = m_history[(m_history_end + history - 1) % history];
+    load_sample& last =
+        m_history[(m_history_end + history_size - 1) % history_size];
     if (now - last.at < history_step) {
         return;
     }
-    m_history[m_history_end] = {now, local()};
-    m_history_end = (m_history_end + 1) % history;
+    m_history[m_history_end] = {now, local_count()};
+    m_history_end = (m_history_end + 1) % history_size;
 }
 
-std::uint32_t engine_state::local_at(model::time_point when) const
+std::uint32_t engine_state::local_count_at(model::time_point measured) const
 {
-    std::uint32_t best = local();
+    std::uint32_t closest = local_count();
     model::time_point earliest = model::time_point::max();
-    for (moment const& past : m_history) {
-        if (past.at >= when && past.at < earliest) {
+    for (load_sample const& past : m_history) {
+        if (past.at >= measured && past.at < earliest) {
             earliest = past.at;
-            best = past.local;
+            closest = past.local_count;
         }
     }
-    return best;
+    return closest;
 }
 
-void engine_state::widen(model::time_point now)
+void engine_state::increase_limit(model::time_point now)
 {
-    if (now - m_bound_moved < widen_pause) {
+    if (now - m_limit_changed < increase_interval) {
         return;
     }
-    double const most = slots > 0 ? slots : most_bound;
-    m_bound = std::min(most, m_bound + widen_step);
-    m_bound_moved = now;
+    double const max_for_engine = slots > 0 ? slots : max_limit;
+    m_concurrency_limit =
+        std::min(max_for_engine, m_concurrency_limit + increase_step);
+    m_limit_changed = now;
 }
 
-void engine_state::narrow(model::time_point now)
+void engine_state::decrease_limit(model::time_point now)
 {
-    if (now - m_bound_moved < narrow_pause) {
+    if (now - m_limit_changed < decrease_interval) {
         return;
     }
-    m_bound = std::max(least_bound, m_bound * narrow_factor);
-    m_bound_moved = now;
+    m_concurrency_limit =
+        std::max(min_limit, m_concurrency_limit * decrease_factor);
+    m_limit_changed = now;
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/engine_state.hpp
+++ b/src/decide/engine_state.hpp
@@ -42,33 +42,34 @@
     explicit engine_state(std::string engine_name);
 
     /// Takes over what the platform lists; keeps what was learnt.
-    void describe(model::engine const& listed, bool in_own_region);
+    void update_listing(model::engine const& listed, bool in_own_region);
 
-    void dispatched(model::request_id id,
-                    double prefill_tokens,
-                    model::time_point now);
+    void record_dispatch(model::request_id id,
+                         double prefill_tokens,
+                         model::time_point now);
 
-    void first_token(double prefill_tokens);
+    void record_first_token(double prefill_tokens);
 
     /// Counts one gap between tokens and moves the bound.
-    void between_tokens(model::seconds gap,
-                        model::milliseconds tightest_target,
-                        model::time_point now);
+    void record_token_gap(model::seconds gap,
+                          model::milliseconds tightest_target,
+                          model::time_point now);
 
     /// \pre one `dispatched` of this id has had no `ended`.
-    void
-    ended(model::request_id id, double pending_prefill, model::time_point now);
+    void record_end(model::request_id id,
+                    double pending_prefill,
+                    model::time_point now);
 
-    void report(engine_report const& report);
+    void apply_report(engine_report const& report);
 
     /// Requests on this engine, of all hosts, as well as it can be known.
     double outstanding(model::time_point now) const;
 
     /// Bound on `outstanding`, in requests.
-    double bound() const;
+    double concurrency_limit() const;
 
     /// Whether this host may send it one more request by way of probing.
-    bool takes_probe() const;
+    bool accepts_probe() const;
 
     /// Predicted time from dispatch to first token, without the link.
     /// `prefill_rate` is in tokens per second.
@@ -88,9 +89,9 @@
     std::uint32_t peer_requests = 0;
     /// Place among the engines of its model in this region, and their number.
     std::uint32_t rank = 0;
-    std::uint32_t fellows = 1;
+    std::uint32_t peer_count = 1;
     /// The part of it that falls to this host, 0..1.
-    double owned = 1.0;
+    double owned_share = 1.0;
     /// Requests of lower tiers that this host may still send it before its
     /// share of the free room is renewed.
     double allowance = 1.0;
@@ -105,12 +106,12 @@
     /// Since when it has been slow against its peers; zero if it is not.
     model::time_point slow_since{};
     /// Good answers since it began probing.
-    std::uint32_t probes = 0;
-    std::vector<model::request_id> flights;
+    std::uint32_t good_probes = 0;
+    std::vector<model::request_id> in_flight;
 
-    std::uint32_t local() const
+    std::uint32_t local_count() const
     {
-        return static_cast<std::uint32_t>(flights.size());
+        return static_cast<std::uint32_t>(in_flight.size());
     }
 
     /// Share of KV memory in use by the latest report; 0 if there is none.
@@ -120,7 +121,7 @@
     }
 
     /// Prompt tokens of this host that wait there for their first token.
-    double own_prefill() const
+    double local_prefill() const
     {
         return m_pending_prefill;
     }
@@ -132,30 +133,30 @@
     double pending_prefill(double rate, model::time_point now) const;
 
 private:
-    struct moment
+    struct load_sample
     {
         model::time_point at{};
-        std::uint32_t local = 0;
+        std::uint32_t local_count = 0;
     };
 
-    void remember(model::time_point now);
-    std::uint32_t local_at(model::time_point when) const;
-    void widen(model::time_point now);
-    void narrow(model::time_point now);
+    void record_history(model::time_point now);
+    std::uint32_t local_count_at(model::time_point measured) const;
+    void increase_limit(model::time_point now);
+    void decrease_limit(model::time_point now);
 
-    static constexpr std::size_t history = 8;
+    static constexpr std::size_t history_size = 8;
 
-    double m_bound = 0.0;
+    double m_concurrency_limit = 0.0;
     double m_pending_prefill = 0.0;
     double m_peer_prefill = 0.0;
-    model::time_point m_peer_prefill_told{};
-    model::time_point m_bound_moved{};
-    std::array<moment, history> m_history{};
+    model::time_point m_peer_prefill_updated{};
+    model::time_point m_limit_changed{};
+    std::array<load_sample, history_size> m_history{};
     std::size_t m_history_end = 0;
-    model::time_point m_report_taken{};
+    model::time_point m_report_measured_at{};
     double m_reported = 0.0;
     double m_kv_used = 0.0;
-    std::uint32_t m_local_at_report = 0;
+    std::uint32_t m_local_count_at_report = 0;
     bool m_has_report = false;
 };
 
--- a/src/decide/engine_table.cpp
+++ b/src/decide/engine_table.cpp
@@ -13,26 +13,26 @@
 // The last of the bound is kept for the highest tier, which may also go a
 // little over it: its burst must not wait for a lower tier's long answers,
 // and the engine runs it first by its priority.
-constexpr double owned_share = 0.9;
+constexpr double owned_engine_limit = 0.9;
 // Beyond this an engine takes lower tiers from the hosts that it falls to
 // alone. Made for saturation: a host knows only the prompts that it has sent
 // itself. Were all hosts to fill the last room, several long prompts would
 // meet on one engine, and hold up the highest tier's first tokens there.
-constexpr double shared_share = 0.7;
-constexpr double highest_tier_share = 1.12;
+constexpr double shared_engine_limit = 0.7;
+constexpr double highest_tier_limit = 1.12;
 // Prefill waiting on an engine delays every first token there. Below the
 // tightest first-token targets, so that what waits stays here, in order.
-constexpr double prefill_seconds = 0.12;
-constexpr double highest_tier_prefill_seconds = 0.25;
+constexpr double max_prefill_seconds = 0.12;
+constexpr double max_highest_tier_prefill_seconds = 0.25;
 // Full KV memory makes an engine put running work back and compute it anew.
 // Answers still grow after they were let in, and reports lag; so lower tiers
 // stop well before it is full.
-constexpr double lower_tiers_memory = 0.85;
-constexpr double highest_tier_memory = 0.97;
-constexpr double lowest_tier_memory = 0.9;
-constexpr double lowest_leaves = 0.1;
+constexpr double max_lower_tiers_memory = 0.85;
+constexpr double max_highest_tier_memory = 0.97;
+constexpr double max_lowest_tier_memory = 0.9;
+constexpr double lowest_tier_reserve = 0.1;
 // Digests of all hosts have come round in this time.
-constexpr model::milliseconds allowance_period{250};
+constexpr model::milliseconds allowance_interval{250};
 
 } // namespace
 
@@ -48,27 +48,28 @@
 {
     std::vector<bool> present(m_engines.size(), false);
     for (model::engine const& source : listed.engines) {
-        index const place = engine(source.name);
+        index const engine_index = engine(source.name);
         present.resize(m_engines.size(), false);
-        present[place] = true;
-        engine_state& state = m_engines[place];
+        present[engine_index] = true;
+        engine_state& state = m_engines[engine_index];
         bool const own_region = source.region == m_region;
         if (state.own_region != own_region) {
-            leave_groups(place);
+            leave_groups(engine_index);
         }
-        state.describe(source, own_region);
-        serve_models(place, source.models, shares, now);
+        state.update_listing(source, own_region);
+        serve_models(engine_index, source.models, shares, now);
     }
     rank_engines();
-    for (index place = 0; place < present.size(); ++place) {
-        if (!present[place] && !m_engines[place].groups.empty()) {
-            m_engines[place].health = engine_health::leaving;
-            leave_groups(place);
+    for (index engine_index = 0; engine_index < present.size();
+         ++engine_index) {
+        if (!present[engine_index] && !m_engines[engine_index].groups.empty()) {
+            m_engines[engine_index].health = engine_health::leaving;
+            leave_groups(engine_index);
         }
     }
 }
 
-void engine_table::serve_models(index place,
+void engine_table::serve_models(index engine_index,
                                 std::vector<std::string> const& models,
                                 std::vector<double> const& shares,
                                 model::time_point now)
@@ -78,125 +79,132 @@
     for (std::string const& name : models) {
         groups.push_back(group(name, shares));
     }
-    engine_state& state = m_engines[place];
+    engine_state& state = m_engines[engine_index];
     if (groups != state.groups) {
-        leave_groups(place);
+        leave_groups(engine_index);
         state.groups = std::move(groups);
-        for (index const joined : state.groups) {
-            m_groups[joined].engines.push_back(place);
+        for (index const group_index : state.groups) {
+            m_groups[group_index].engines.push_back(engine_index);
         }
     }
-    refresh(place, now);
+    refresh(engine_index, now);
 }
 
-void engine_table::refresh(index place, model::time_point now)
+void engine_table::refresh(index engine_index, model::time_point now)
 {
-    engine_state const& state = m_engines[place];
-    room const found = room_of(state, now);
-    for (index const joined : state.groups) {
-        region_room& rooms = m_groups[joined].rooms(state.own_region);
-        if (found == room::any_tier) {
-            rooms.any_tier.insert(place);
+    engine_state const& state = m_engines[engine_index];
+    engine_capacity const capacity = capacity_of(state, now);
+    for (index const group_index : state.groups) {
+        region_capacity& region =
+            m_groups[group_index].capacity(state.own_region);
+        if (capacity == engine_capacity::any_tier) {
+            region.any_tier.insert(engine_index);
         } else {
-            rooms.any_tier.erase(place);
+            region.any_tier.erase(engine_index);
         }
-        if (found == room::any_tier && state.owned > 0.0) {
-            rooms.owned.insert(place);
+        if (capacity == engine_capacity::any_tier && state.owned_share > 0.0) {
+            region.owned.insert(engine_index);
         } else {
-            rooms.owned.erase(place);
+            region.owned.erase(engine_index);
         }
-        if (found == room::highest_tier) {
-            rooms.highest_tier.insert(place);
+        if (capacity == engine_capacity::highest_tier) {
+            region.highest_tier.insert(engine_index);
         } else {
-            rooms.highest_tier.erase(place);
+            region.highest_tier.erase(engine_index);
         }
     }
 }
 
-void engine_table::renew_allowance(index place,
+void engine_table::renew_allowance(index engine_index,
                                    host_position const& position,
                                    model::time_point now)
 {
-    engine_state& state = m_engines[place];
-    if (now - state.allowance_renewed >= allowance_period) {
+    engine_state& state = m_engines[engine_index];
+    if (now - state.allowance_renewed >= allowance_interval) {
         // All hosts see the same free room at the same time. If each filled
         // it, an engine would get it as many times over as there are hosts.
         // So each takes its share: of the last room on the engines that fall
         // to it, of the rest on all.
-        state.owned = state.own_region
-                          ? position.share_of(state.rank, state.fellows)
-                          : 0.0;
-        double const sharers =
+        state.owned_share =
+            state.own_region ? position.share_of(state.rank, state.peer_count)
+                             : 0.0;
+        double const host_count =
             state.own_region ? position.in_region : position.hosts;
-        double const part = state.owned > 0.0 ? state.owned : 1.0 / sharers;
-        double const free =
+        double const share =
+            state.owned_share > 0.0 ? state.owned_share : 1.0 / host_count;
+        double const free_capacity =
             std::max(0.0, lower_tiers_limit(state) - state.outstanding(now));
         auto const period = static_cast<std::uint64_t>(now.time_since_epoch()
-                                                       / allowance_period);
-        std::uint64_t const lot =
+                                                       / allowance_interval);
+        std::uint64_t const hash =
             mix(name_hash(m_host), mix(name_hash(state.name), period));
-        double const draw = static_cast<double>(lot % 10'000) / 10'000.0;
-        state.allowance = std::floor(free * part + draw);
+        double const random_value =
+            static_cast<double>(hash % 10'000) / 10'000.0;
+        state.allowance = std::floor(free_capacity * share + random_value);
         state.allowance_renewed = now;
     }
-    refresh(place, now);
+    refresh(engine_index, now);
 }
 
 double engine_table::lower_tiers_limit(engine_state const& state)
 {
-    double const share = state.owned > 0.0 ? owned_share : shared_share;
-    return state.bound() * share;
+    double const limit_share =
+        state.owned_share > 0.0 ? owned_engine_limit : shared_engine_limit;
+    return state.concurrency_limit() * limit_share;
 }
 
-room engine_table::room_of(engine_state const& state,
-                           model::time_point now) const
+engine_capacity engine_table::capacity_of(engine_state const& state,
+                                          model::time_point now) const
 {
-    double const bound = state.bound();
-    if (bound <= 0.0) {
-        return room::none;
+    double const limit = state.concurrency_limit();
+    if (limit <= 0.0) {
+        return engine_capacity::none;
     }
     double const outstanding = state.outstanding(now);
     if (state.health == engine_health::probing) {
-        return state.takes_probe() ? room::any_tier : room::none;
+        return state.accepts_probe() ? engine_capacity::any_tier
+                                     : engine_capacity::none;
     }
-    double const rate =
-        state.groups.empty()
-            ? 1.0
-            : m_groups[state.groups.front()].prefill.tokens_per_second();
+    double const rate = state.groups.empty()
+                            ? 1.0
+                            : m_groups[state.groups.front()]
+                                  .prefill_estimate.tokens_per_second();
     double const pending = state.pending_prefill(rate, now) / rate;
-    if (outstanding < lower_tiers_limit(state) && pending < prefill_seconds
-        && state.allowance >= 1.0 && state.kv_used() < lower_tiers_memory) {
-        return room::any_tier;
+    if (outstanding < lower_tiers_limit(state) && pending < max_prefill_seconds
+        && state.allowance >= 1.0 && state.kv_used() < max_lower_tiers_memory) {
+        return engine_capacity::any_tier;
     }
-    if (outstanding < bound * highest_tier_share
-        && pending < highest_tier_prefill_seconds
-        && state.kv_used() < highest_tier_memory) {
-        return room::highest_tier;
+    if (outstanding < limit * highest_tier_limit
+        && pending < max_highest_tier_prefill_seconds
+        && state.kv_used() < max_highest_tier_memory) {
+        return engine_capacity::highest_tier;
     }
-    return room::none;
+    return engine_capacity::none;
 }
 
-bool engine_table::room_for_lowest(engine_state const& state,
-                                   model::time_point now) const
+bool engine_table::has_capacity_for_lowest(engine_state const& state,
+                                           model::time_point now) const
 {
     return state.outstanding(now)
-               < lower_tiers_limit(state) - state.bound() * lowest_leaves
-           && state.kv_used() * m_groups[state.groups.front()].memory.growth()
-                  < lowest_tier_memory;
+               < lower_tiers_limit(state)
+                     - state.concurrency_limit() * lowest_tier_reserve
+           && state.kv_used()
+                      * m_groups[state.groups.front()].kv_forecast.growth()
+                  < max_lowest_tier_memory;
 }
 
 void engine_table::rank_engines()
 {
     // In order of their names, so that all hosts cut the same row.
-    std::vector<index> row(m_engines.size());
-    std::iota(row.begin(), row.end(), 0);
-    std::sort(row.begin(), row.end(), [this](index left, index right) {
+    std::vector<index> sorted(m_engines.size());
+    std::iota(sorted.begin(), sorted.end(), 0);
+    std::sort(sorted.begin(), sorted.end(), [this](index left, index right) {
         return m_engines[left].name < m_engines[right].name;
     });
     std::vector<std::uint32_t> counts(m_groups.size());
     for (int pass = 0; pass < 2; ++pass) {
-        for (index const place : row) {
-            engine_state& state = m_engines[place];
+        for (index const engine_index : sorted) {
+            engine_state& state = m_engines[engine_index];
             if (!state.own_region || state.groups.empty()
                 || state.health == engine_health::leaving) {
                 continue;
@@ -205,7 +213,7 @@
             if (pass == 0) {
                 state.rank = count++;
             } else {
-                state.fellows = count;
+                state.peer_count = count;
             }
         }
     }
@@ -226,38 +234,39 @@
 index engine_table::group(std::string const& model,
                           std::vector<double> const& shares)
 {
-    index const place = m_models.intern(model);
-    if (place == m_groups.size()) {
+    index const group_index = m_models.intern(model);
+    if (group_index == m_groups.size()) {
         m_groups.emplace_back(shares);
-        m_model_hashes.emplace(name_hash(model), place);
+        m_model_hashes.emplace(name_hash(model), group_index);
     }
-    return place;
+    return group_index;
 }
 
 index engine_table::engine(std::string const& name)
 {
-    index const place = m_names.intern(name);
-    if (place == m_engines.size()) {
+    index const engine_index = m_names.intern(name);
+    if (engine_index == m_engines.size()) {
         m_engines.emplace_back(name);
-        m_hashes.emplace(name_hash(name), place);
+        m_hashes.emplace(name_hash(name), engine_index);
     }
-    return place;
+    return engine_index;
 }
 
-void engine_table::leave_groups(index place)
+void engine_table::leave_groups(index engine_index)
 {
-    for (index const joined : m_engines[place].groups) {
-        model_group& left = m_groups[joined];
-        auto& engines = left.engines;
-        engines.erase(std::remove(engines.begin(), engines.end(), place),
+    for (index const group_index : m_engines[engine_index].groups) {
+        model_group& target = m_groups[group_index];
+        auto& engines = target.engines;
+        engines.erase(std::remove(engines.begin(), engines.end(), engine_index),
                       engines.end());
-        for (region_room* rooms : {&left.own, &left.others}) {
-            rooms->any_tier.erase(place);
-            rooms->owned.erase(place);
-            rooms->highest_tier.erase(place);
+        for (region_capacity* region :
+             {&target.own_region, &target.other_regions}) {
+            region->any_tier.erase(engine_index);
+            region->owned.erase(engine_index);
+            region->highest_tier.erase(engine_index);
         }
     }
-    m_engines[place].groups.clear();
+    m_engines[engine_index].groups.clear();
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/engine_table.hpp
+++ b/src/decide/engine_table.hpp
@@ -43,12 +43,13 @@
                          model::time_point now);
 
     /// Room as `refresh` would find it.
-    room room_of(engine_state const& engine, model::time_point now) const;
+    engine_capacity capacity_of(engine_state const& engine,
+                                model::time_point now) const;
 
     /// Whether an engine with room for any tier has some for the lowest.
     /// \pre the engine serves a model.
-    bool room_for_lowest(engine_state const& engine,
-                         model::time_point now) const;
+    bool has_capacity_for_lowest(engine_state const& engine,
+                                 model::time_point now) const;
 
     index find(std::string const& name) const
     {
@@ -58,14 +59,14 @@
     index find_hash(std::uint32_t hash) const;
 
     /// \pre place < size().
-    engine_state& at(index place)
+    engine_state& at(index engine_index)
     {
-        return m_engines[place];
+        return m_engines[engine_index];
     }
 
-    engine_state const& at(index place) const
+    engine_state const& at(index engine_index) const
     {
-        return m_engines[place];
+        return m_engines[engine_index];
     }
 
     std::size_t size() const
@@ -100,7 +101,7 @@
 
 private:
     index engine(std::string const& name);
-    void leave_groups(index place);
+    void leave_groups(index engine_index);
     void rank_engines();
     static double lower_tiers_limit(engine_state const& state);
 
--- a/src/decide/event.hpp
+++ b/src/decide/event.hpp
@@ -79,7 +79,7 @@
 {
     std::string engine;
     /// When the engine took the figures, on this host's clock.
-    model::time_point taken{};
+    model::time_point measured_at{};
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
     /// Share of KV memory in use, 0..1.
--- a/src/decide/fair_queue.cpp
+++ b/src/decide/fair_queue.cpp
@@ -12,10 +12,10 @@
 constexpr double prompt_weight = 0.13;
 // Earnings kept, in requests: enough to serve each tier its turn, too little
 // for a block that a higher tier would notice as a missed target.
-constexpr double kept_requests = 1.5;
+constexpr double max_credit_requests = 1.5;
 constexpr double window_seconds = 20.0;
 // Some of what is earned ends in answers that nobody waits for any more.
-constexpr double share_margin = 1.24;
+constexpr double share_factor = 1.24;
 
 } // namespace
 
@@ -28,16 +28,18 @@
 void fair_queue::set_shares(std::vector<double> const& shares)
 {
     m_tiers.resize(std::max(m_tiers.size(), shares.size()));
-    for (std::size_t place = 0; place < m_tiers.size(); ++place) {
-        m_tiers[place].share = place < shares.size() ? shares[place] : 0.0;
+    for (std::size_t tier_index = 0; tier_index < m_tiers.size();
+         ++tier_index) {
+        m_tiers[tier_index].share =
+            tier_index < shares.size() ? shares[tier_index] : 0.0;
     }
 }
 
-void fair_queue::push(entry& waiting, std::vector<double> const& elsewhere)
+void fair_queue::push(entry& waiting, std::vector<double> const& remote_tokens)
 {
     tier_state& tier = m_tiers[waiting.tier];
-    tier.queue.push(waiting, elsewhere);
-    tier.usual_cost.add(token_cost(waiting));
+    tier.queue.push(waiting, remote_tokens);
+    tier.expected_cost.add(token_cost(waiting));
     ++m_size;
 }
 
@@ -47,71 +49,74 @@
     --m_size;
 }
 
-std::array<entry*, fair_queue::max_turns>
-fair_queue::turns(std::vector<double> const& elsewhere)
+std::array<entry*, fair_queue::max_heads>
+fair_queue::dispatch_order(std::vector<double> const& remote_tokens)
 {
-    std::array<entry*, max_turns> order{};
-    std::size_t placed = 0;
+    std::array<entry*, max_heads> order{};
+    std::size_t filled = 0;
     entry* highest = nullptr;
     for (tier_state& tier : m_tiers) {
-        entry* const head = tier.queue.head(elsewhere);
+        entry* const head = tier.queue.head(remote_tokens);
         if (head == nullptr) {
             continue;
         }
         if (highest == nullptr) {
             highest = head;
-        } else if (tier.earned >= token_cost(*head)) {
-            order[placed++] = head;
+        } else if (tier.credit >= token_cost(*head)) {
+            order[filled++] = head;
         }
     }
     // Behind those that are owed come all by rank: room that an owed one may
     // not use can still be good for the highest tier.
     for (tier_state& tier : m_tiers) {
-        entry* const head = tier.queue.head(elsewhere);
-        bool const owed =
+        entry* const head = tier.queue.head(remote_tokens);
+        bool const below_share =
             std::find(order.begin(), order.end(), head) != order.end();
-        if (head != nullptr && !owed) {
-            order[placed++] = head;
+        if (head != nullptr && !below_share) {
+            order[filled++] = head;
         }
     }
     return order;
 }
 
-bool fair_queue::owed(entry const& waiting) const
+bool fair_queue::is_below_share(entry const& waiting) const
 {
-    return m_tiers[waiting.tier].earned >= token_cost(waiting);
+    return m_tiers[waiting.tier].credit >= token_cost(waiting);
 }
 
-void fair_queue::serve(entry& served, double tokens, model::time_point now)
+void fair_queue::record_served(entry& served,
+                               double tokens,
+                               model::time_point now)
 {
-    earn(tokens, now);
+    accrue_credit(tokens, now);
     tier_state& tier = m_tiers[served.tier];
-    tier.earned -= tokens;
+    tier.credit -= tokens;
     tier.queue.charge(served.team, tokens);
 }
 
-void fair_queue::correct(index tier, index team, double tokens)
+void fair_queue::adjust_charge(index tier, index team, double tokens)
 {
     if (tier < m_tiers.size()) {
         m_tiers[tier].queue.charge(team, tokens);
     }
 }
 
-void fair_queue::earn(double tokens, model::time_point now)
+void fair_queue::accrue_credit(double tokens, model::time_point now)
 {
     // What a tier got beyond its share while there was room counts against it
     // for a while, so that the share holds over a window and not only from
     // the moment when a higher tier begins to wait.
     double const age = model::seconds(now - m_updated).count();
-    double const kept = std::exp(-std::max(0.0, age) / window_seconds);
+    double const decay = std::exp(-std::max(0.0, age) / window_seconds);
     m_updated = now;
     for (tier_state& tier : m_tiers) {
-        double const most = kept_requests * tier.usual_cost.value_or(0.0);
-        if (tier.earned < 0.0) {
-            tier.earned *= kept;
+        double const max_credit =
+            max_credit_requests * tier.expected_cost.value_or(0.0);
+        if (tier.credit < 0.0) {
+            tier.credit *= decay;
         }
-        double const due = tokens * tier.share * share_margin;
-        tier.earned = std::min(tier.earned + due, most);
+        double const share_tokens = tokens * tier.share * share_factor;
+        tier.credit = std::min(tier.credit + share_tokens, max_credit);
     }
 }
 
--- a/src/decide/fair_queue.hpp
+++ b/src/decide/fair_queue.hpp
@@ -31,26 +31,27 @@
 
     /// `elsewhere` holds the tokens that each team has got on other hosts,
     /// ever growing; it is as long as there are teams.
-    void push(entry& waiting, std::vector<double> const& elsewhere);
+    void push(entry& waiting, std::vector<double> const& remote_tokens);
 
     void remove(entry& waiting);
 
-    static constexpr std::size_t max_turns = model::limits::max_tiers;
+    static constexpr std::size_t max_heads = model::limits::max_tiers;
 
     /// The first request of each tier in the order in which they are to be
     /// tried; null behind the last.
-    std::array<entry*, max_turns> turns(std::vector<double> const& elsewhere);
+    std::array<entry*, max_heads>
+    dispatch_order(std::vector<double> const& remote_tokens);
 
     /// Whether `waiting`'s tier goes ahead of higher ones by its share.
-    bool owed(entry const& waiting) const;
+    bool is_below_share(entry const& waiting) const;
 
     /// Counts `tokens` of `served` (already removed) against team and tier.
-    void serve(entry& served, double tokens, model::time_point now);
+    void record_served(entry& served, double tokens, model::time_point now);
 
     /// Corrects what a team was charged, once the output is known. The tier's
     /// share stays as it was charged: short answers end first, and what they
     /// give back would let a tier of long ones have twice its share at first.
-    void correct(index tier, index team, double tokens);
+    void adjust_charge(index tier, index team, double tokens);
 
     std::size_t size() const
     {
@@ -78,11 +79,11 @@
         tier_queue queue;
         double share = 0.0;
         /// Tokens that its share has earned and that it has not yet got.
-        double earned = 0.0;
-        moving_average usual_cost;
+        double credit = 0.0;
+        moving_average expected_cost;
     };
 
-    void earn(double tokens, model::time_point now);
+    void accrue_credit(double tokens, model::time_point now);
 
     std::vector<tier_state> m_tiers{1};
     std::size_t m_size = 0;
--- a/src/decide/length_predictor.hpp
+++ b/src/decide/length_predictor.hpp
@@ -20,29 +20,34 @@
 {
 public:
     /// `most` is the bound on this request's output.
-    std::uint32_t predict(index class_place, std::uint32_t most) const
+    std::uint32_t predict(index class_id, std::uint32_t max_tokens) const
     {
-        double const guess =
-            class_place < m_classes.size() && m_classes[class_place].samples > 0
-                ? m_classes[class_place].value
-                : prior(most);
-        auto const tokens = static_cast<std::uint32_t>(std::max(1.0, guess));
-        return most == 0 ? tokens : std::min(tokens, most);
+        double const estimated =
+            class_id < m_classes.size() && m_classes[class_id].samples > 0
+                ? m_classes[class_id].value
+                : prior(max_tokens);
+        auto const tokens =
+            static_cast<std::uint32_t>(std::max(1.0, estimated));
+        return max_tokens == 0 ? tokens : std::min(tokens, max_tokens);
     }
 
     /// Notes an answer that ended with so many tokens before it reached its
     /// expected length. `most` is the class's bound on outputs.
-    void ended(index class_place, std::uint32_t tokens, std::uint32_t most)
+    void record_completed(index class_id,
+                          std::uint32_t tokens,
+                          std::uint32_t max_tokens)
     {
-        add(class_place, tokens, most);
+        add(class_id, tokens, max_tokens);
     }
 
     /// Notes an answer that has just passed its expected length. It counts at
     /// once, and not again when it ends: the short answers end first, and by
     /// those alone a class of long ones would look short for minutes.
-    void passed(index class_place, std::uint32_t expected, std::uint32_t most)
+    void record_overrun(index class_id,
+                        std::uint32_t expected,
+                        std::uint32_t max_tokens)
     {
-        add(class_place, beyond * expected, most);
+        add(class_id, overrun_mean_factor * expected, max_tokens);
     }
 
 private:
@@ -53,32 +58,33 @@
     };
 
     // Mean length of answers that pass the mean, as a multiple of it.
-    static constexpr double beyond = 1.45;
-    static constexpr double least_weight = 0.02;
+    static constexpr double overrun_mean_factor = 1.45;
+    static constexpr double min_sample_weight = 0.02;
     // Callers and classes ask for a multiple of what they get.
-    static constexpr double asked_for = 4.0;
-    static constexpr double unknown_length = 256.0;
+    static constexpr double requested_to_actual = 4.0;
+    static constexpr double default_length = 256.0;
     // Answers that the first guess counts for.
     static constexpr double prior_weight = 20.0;
 
-    void add(index class_place, double sample, std::uint32_t most)
+    void add(index class_id, double sample, std::uint32_t max_tokens)
     {
-        if (class_place >= m_classes.size()) {
-            m_classes.resize(class_place + 1);
+        if (class_id >= m_classes.size()) {
+            m_classes.resize(class_id + 1);
         }
-        estimate& own = m_classes[class_place];
-        if (own.samples == 0) {
-            own.value = prior(most);
+        estimate& current = m_classes[class_id];
+        if (current.samples == 0) {
+            current.value = prior(max_tokens);
         }
-        ++own.samples;
+        ++current.samples;
         double const weight =
-            std::max(least_weight, 1.0 / (prior_weight + own.samples));
-        own.value += (sample - own.value) * weight;
+            std::max(min_sample_weight, 1.0 / (prior_weight + current.samples));
+        current.value += (sample - current.value) * weight;
     }
 
-    static double prior(std::uint32_t most)
+    static double prior(std::uint32_t max_tokens)
     {
-        return most == 0 ? unknown_length : most / asked_for;
+        return max_tokens == 0 ? default_length
+                               : max_tokens / requested_to_actual;
     }
 
     std::vector<estimate> m_classes;
--- a/src/decide/link_budget.hpp
+++ b/src/decide/link_budget.hpp
@@ -25,13 +25,13 @@
     {
     }
 
-    bool allows(double bytes, model::time_point now)
+    bool has_budget(double bytes, model::time_point now)
     {
         refill(now);
         return bytes <= m_level;
     }
 
-    void take(double bytes, model::time_point now)
+    void consume(double bytes, model::time_point now)
     {
         refill(now);
         m_level -= bytes;
--- a/src/decide/memory_forecast.hpp
+++ b/src/decide/memory_forecast.hpp
@@ -20,45 +20,47 @@
 public:
     void add(entry const& running)
     {
-        m_held += held(running);
-        m_expected += running.expected_output - waiting_output(running);
+        m_current += current_tokens(running);
+        m_remaining += running.expected_output - produced_output(running);
     }
 
     /// \pre added, and not changed since.
     void remove(entry const& running)
     {
-        m_held = std::max(0.0, m_held - held(running));
-        m_expected = std::max(
+        m_current = std::max(0.0, m_current - current_tokens(running));
+        m_remaining = std::max(
             0.0,
-            m_expected - (running.expected_output - waiting_output(running)));
+            m_remaining - (running.expected_output - produced_output(running)));
     }
 
     /// Factor on the memory in use now, 1 or more.
     double growth() const
     {
-        if (m_held <= 0.0) {
+        if (m_current <= 0.0) {
             return 1.0;
         }
-        return std::min(most, 1.0 + still_running * m_expected / m_held);
+        return std::min(max_growth,
+                        1.0 + concurrent_fraction * m_remaining / m_current);
     }
 
 private:
     // By the time that the last has grown, some of the first have ended.
-    static constexpr double still_running = 0.6;
-    static constexpr double most = 2.0;
+    static constexpr double concurrent_fraction = 0.6;
+    static constexpr double max_growth = 2.0;
 
-    static double held(entry const& running)
+    static double current_tokens(entry const& running)
     {
-        return static_cast<double>(running.prompt_tokens) + running.relayed;
+        return static_cast<double>(running.prompt_tokens)
+               + running.relayed_tokens;
     }
 
-    static double waiting_output(entry const& running)
+    static double produced_output(entry const& running)
     {
-        return std::min(running.expected_output, running.relayed);
+        return std::min(running.expected_output, running.relayed_tokens);
     }
 
-    double m_held = 0.0;
-    double m_expected = 0.0;
+    double m_current = 0.0;
+    double m_remaining = 0.0;
 };
 
 } // namespace caperjunction::decide
--- a/src/decide/model_group.hpp
+++ b/src/decide/model_group.hpp
@@ -1,9 +1,9 @@
 #ifndef CAPERJUNCTION_DECIDE_MODEL_GROUP_HPP
 #define CAPERJUNCTION_DECIDE_MODEL_GROUP_HPP
 
+#include "decide/engine_set.hpp"
 #include "decide/fair_queue.hpp"
 #include "decide/memory_forecast.hpp"
-#include "decide/open_list.hpp"
 #include "decide/overload_gate.hpp"
 #include "decide/prefill_rate.hpp"
 #include "decide/wait_estimator.hpp"
@@ -15,7 +15,7 @@
 namespace caperjunction::decide {
 
 /// How much room an engine has.
-enum class room : std::uint8_t
+enum class engine_capacity : std::uint8_t
 {
     none,
     /// Only for the highest tier: the last of the bound is kept for it.
@@ -24,12 +24,12 @@
 };
 
 /// Engines of one region that have room, for one model.
-struct region_room
+struct region_capacity
 {
-    open_list any_tier;
+    engine_set any_tier;
     /// Those of `any_tier` that fall to this host.
-    open_list owned;
-    open_list highest_tier;
+    engine_set owned;
+    engine_set highest_tier;
 };
 
 /// One model: its engines and what waits for them.
@@ -40,19 +40,19 @@
         queue.set_shares(shares);
     }
 
-    region_room& rooms(bool own_region)
+    region_capacity& capacity(bool is_own_region)
     {
-        return own_region ? own : others;
+        return is_own_region ? own_region : other_regions;
     }
 
     fair_queue queue;
-    region_room own;
-    region_room others;
+    region_capacity own_region;
+    region_capacity other_regions;
     /// Engines that serve it, whatever their health.
     std::vector<index> engines;
     wait_estimator waits;
-    prefill_rate prefill;
-    memory_forecast memory;
+    prefill_rate prefill_estimate;
+    memory_forecast kv_forecast;
     /// By tier.
     std::vector<overload_gate> gates;
     /// What other hosts hold in queue and refuse, by tier.
--- a/src/decide/model_shifter.cpp
+++ b/src/decide/model_shifter.cpp
@@ -8,31 +8,33 @@
 
 // Longer than a burst that the batches absorb, and much longer for the model
 // that gives an engine away: idle for a moment is no reason to lose one.
-constexpr model::milliseconds short_for{10'000};
-constexpr model::milliseconds idle_for{30'000};
+constexpr model::milliseconds min_queued_duration{10'000};
+constexpr model::milliseconds min_idle_duration{30'000};
 // Loading takes minutes; what one shift does shows before the next.
-constexpr model::milliseconds between_shifts{120'000};
+constexpr model::milliseconds min_shift_interval{120'000};
 // A model keeps this many engines, so that one crash doesn't end it.
-constexpr std::size_t least_engines = 3;
-constexpr double idle_load = 0.4;
+constexpr std::size_t min_engines = 3;
+constexpr double max_idle_load = 0.4;
 // Engines looked at to judge a model's load.
 constexpr std::size_t sampled_engines = 64;
 
 // The start of a spell goes on being noted while it lasts.
-void track(model::time_point& since, bool holds, model::time_point now)
+void update_since(model::time_point& since,
+                  bool condition,
+                  model::time_point now)
 {
-    if (!holds) {
+    if (!condition) {
         since = {};
     } else if (since == model::time_point{}) {
         since = now;
     }
 }
 
-bool lasting(model::time_point since,
-             model::milliseconds least,
-             model::time_point now)
+bool has_lasted(model::time_point since,
+                model::milliseconds min_duration,
+                model::time_point now)
 {
-    return since != model::time_point{} && now - since >= least;
+    return since != model::time_point{} && now - since >= min_duration;
 }
 
 double load_of(engine_table const& engines,
@@ -42,94 +44,97 @@
     double outstanding = 0.0;
     double bound = 0.0;
     std::size_t const count = std::min(group.engines.size(), sampled_engines);
-    for (std::size_t place = 0; place < count; ++place) {
-        engine_state const& engine = engines.at(group.engines[place]);
+    for (std::size_t position = 0; position < count; ++position) {
+        engine_state const& engine = engines.at(group.engines[position]);
         outstanding += engine.outstanding(now);
-        bound += engine.bound();
+        bound += engine.concurrency_limit();
     }
     return bound > 0.0 ? outstanding / bound : 1.0;
 }
 
 } // namespace
 
-model_shift model_shifter::look(engine_table const& engines,
+model_shift model_shifter::poll(engine_table const& engines,
                                 model::time_point now)
 {
-    m_spells.resize(engines.groups().size());
-    for (index group = 0; group < m_spells.size(); ++group) {
+    m_load_states.resize(engines.groups().size());
+    for (index group = 0; group < m_load_states.size(); ++group) {
         observe(engines, group, now);
     }
-    bool const rested =
-        m_shifted == model::time_point{} || now - m_shifted >= between_shifts;
-    index const to = needy(now);
-    index const from = donor(engines, now);
-    if (!rested || to == no_index || from == no_index) {
+    bool const interval_passed = m_shifted == model::time_point{}
+                                 || now - m_shifted >= min_shift_interval;
+    index const receiver = find_receiver(now);
+    index const donor_group = find_donor(engines, now);
+    if (!interval_passed || receiver == no_index || donor_group == no_index) {
         return {};
     }
-    index const engine = engine_of(engines, from);
+    index const engine = find_engine(engines, donor_group);
     if (engine == no_index) {
         return {};
     }
     m_shifted = now;
     m_last_engine = engine;
-    return {engine, to};
+    return {engine, receiver};
 }
 
 void model_shifter::observe(engine_table const& engines,
-                            index place,
+                            index group_index,
                             model::time_point now)
 {
-    model_group const& group = engines.groups()[place];
-    bool const waits = group.queue.size() > 0;
-    spell& own = m_spells[place];
-    track(own.short_since, waits, now);
-    bool const idle = !waits && !group.engines.empty()
-                      && load_of(engines, group, now) < idle_load;
-    track(own.idle_since, idle, now);
+    model_group const& group = engines.groups()[group_index];
+    bool const has_queue = group.queue.size() > 0;
+    load_state& state = m_load_states[group_index];
+    update_since(state.queued_since, has_queue, now);
+    bool const is_idle = !has_queue && !group.engines.empty()
+                         && load_of(engines, group, now) < max_idle_load;
+    update_since(state.idle_since, is_idle, now);
 }
 
-index model_shifter::needy(model::time_point now) const
+index model_shifter::find_receiver(model::time_point now) const
 {
     index found = no_index;
-    for (index place = 0; place < m_spells.size(); ++place) {
-        model::time_point const since = m_spells[place].short_since;
-        if (lasting(since, short_for, now)
-            && (found == no_index || since < m_spells[found].short_since)) {
-            found = place;
+    for (index group_index = 0; group_index < m_load_states.size();
+         ++group_index) {
+        model::time_point const since = m_load_states[group_index].queued_since;
+        if (has_lasted(since, min_queued_duration, now)
+            && (found == no_index
+                || since < m_load_states[found].queued_since)) {
+            found = group_index;
         }
     }
     return found;
 }
 
-index model_shifter::donor(engine_table const& engines,
-                           model::time_point now) const
+index model_shifter::find_donor(engine_table const& engines,
+                                model::time_point now) const
 {
     index found = no_index;
-    for (index place = 0; place < m_spells.size(); ++place) {
-        model::time_point const since = m_spells[place].idle_since;
-        bool const spare =
-            engines.groups()[place].engines.size() > least_engines;
-        if (spare && lasting(since, idle_for, now)
-            && (found == no_index || since < m_spells[found].idle_since)) {
-            found = place;
+    for (index group_index = 0; group_index < m_load_states.size();
+         ++group_index) {
+        model::time_point const since = m_load_states[group_index].idle_since;
+        bool const has_spare_engine =
+            engines.groups()[group_index].engines.size() > min_engines;
+        if (has_spare_engine && has_lasted(since, min_idle_duration, now)
+            && (found == no_index || since < m_load_states[found].idle_since)) {
+            found = group_index;
         }
     }
     return found;
 }
 
-index model_shifter::engine_of(engine_table const& engines, index group) const
+index model_shifter::find_engine(engine_table const& engines, index group) const
 {
     // The first by name of those that serve nothing else: all hosts that see
     // the same load name the same engine, so their wishes agree.
     index found = no_index;
-    for (index const place : engines.groups()[group].engines) {
-        engine_state const& engine = engines.at(place);
-        if (place == m_last_engine || engine.groups.size() != 1
+    for (index const engine_index : engines.groups()[group].engines) {
+        engine_state const& engine = engines.at(engine_index);
+        if (engine_index == m_last_engine || engine.groups.size() != 1
             || engine.health != engine_health::good) {
             continue;
         }
         if (found == no_index || engine.name < engines.at(found).name) {
-            found = place;
+            found = engine_index;
         }
     }
     return found;
--- a/src/decide/model_shifter.hpp
+++ b/src/decide/model_shifter.hpp
@@ -29,22 +29,22 @@
 public:
     /// Looks at all models, of which there are few; called about once a
     /// second. `engine` is `no_index` if nothing is to be shifted.
-    model_shift look(engine_table const& engines, model::time_point now);
+    model_shift poll(engine_table const& engines, model::time_point now);
 
 private:
-    struct spell
+    struct load_state
     {
-        model::time_point short_since{};
+        model::time_point queued_since{};
         model::time_point idle_since{};
     };
 
     void
     observe(engine_table const& engines, index group, model::time_point now);
-    index needy(model::time_point now) const;
-    index donor(engine_table const& engines, model::time_point now) const;
-    index engine_of(engine_table const& engines, index group) const;
+    index find_receiver(model::time_point now) const;
+    index find_donor(engine_table const& engines, model::time_point now) const;
+    index find_engine(engine_table const& engines, index group) const;
 
-    std::vector<spell> m_spells;
+    std::vector<load_state> m_load_states;
     model::time_point m_shifted{};
     index m_last_engine = no_index;
 };
--- a/src/decide/moving_average.hpp
+++ b/src/decide/moving_average.hpp
@@ -20,9 +20,10 @@
     void add(double sample)
     {
         ++m_samples;
-        double const plain = 1.0 / m_samples;
-        double const share = plain > m_weight ? plain : m_weight;
-        m_value += (sample - m_value) * share;
+        double const mean_weight = 1.0 / m_samples;
+        double const sample_weight =
+            mean_weight > m_weight ? mean_weight : m_weight;
+        m_value += (sample - m_value) * sample_weight;
     }
 
     /// Forgets all samples.
@@ -38,9 +39,9 @@
     }
 
     /// `otherwise` while there are no samples.
-    double value_or(double otherwise) const
+    double value_or(double default_value) const
     {
-        return m_samples == 0 ? otherwise : m_value;
+        return m_samples == 0 ? default_value : m_value;
     }
 
 private:
--- a/src/decide/name_table.hpp
+++ b/src/decide/name_table.hpp
@@ -34,9 +34,9 @@
     }
 
     /// \pre place < size().
-    std::string const& name(index place) const
+    std::string const& name(index position) const
     {
-        return m_names[place];
+        return m_names[position];
     }
 
     std::size_t size() const
--- a/src/decide/outlier_detector.hpp
+++ b/src/decide/outlier_detector.hpp
@@ -24,13 +24,13 @@
     explicit outlier_detector(std::uint64_t seed);
 
     /// Whether this engine should get no new work for now.
-    bool slow(engine_table& engines, index engine, model::time_point now);
+    bool is_outlier(engine_table& engines, index engine, model::time_point now);
 
     /// Time that it is out for, longer each time it fails.
-    static model::milliseconds penalty(engine_state& engine);
+    static model::milliseconds next_penalty(engine_state& engine);
 
 private:
-    bool slower(engine_table const& engines, index engine);
+    bool is_slower_than_peers(engine_table const& engines, index engine);
 
     std::mt19937_64 m_random;
 };
--- a/src/decide/overload_gate.hpp
+++ b/src/decide/overload_gate.hpp
@@ -22,7 +22,7 @@
     void observe(bool late, model::time_point now)
     {
         if (late || m_late) {
-            m_pressed = now;
+            m_last_overload = now;
         }
         if (late != m_late) {
             m_late = late;
@@ -31,52 +31,52 @@
     }
 
     /// Notes that a request was refused for overload.
-    void refused(model::time_point now)
+    void record_refusal(model::time_point now)
     {
-        m_pressed = now;
+        m_last_overload = now;
     }
 
     /// Whether late requests are to be refused.
-    bool shut(model::time_point now)
+    bool is_closed(model::time_point now)
     {
-        if (!m_shut && m_late && now - m_since >= patience) {
-            m_shut = true;
+        if (!m_closed && m_late && now - m_since >= close_delay) {
+            m_closed = true;
             // Overload that is back within the length of its last spell is
             // the same one. Counted anew, it would tell callers to come back
             // in a second, into its middle.
-            if (now - m_opened > m_opened - m_shut_since) {
-                m_shut_since = now;
+            if (now - m_opened_at > m_opened_at - m_closed_since) {
+                m_closed_since = now;
             }
-        } else if (m_shut && now - m_pressed >= relief) {
-            m_shut = false;
-            m_opened = now;
+        } else if (m_closed && now - m_last_overload >= reopen_delay) {
+            m_closed = false;
+            m_opened_at = now;
         }
-        return m_shut;
+        return m_closed;
     }
 
     /// How long it has been shut; zero while it is open.
-    model::milliseconds shut_for(model::time_point now) const
+    model::milliseconds closed_for(model::time_point now) const
     {
-        if (!m_shut) {
+        if (!m_closed) {
             return model::milliseconds{0};
         }
-        return std::chrono::duration_cast<model::milliseconds>(now
-                                                               - m_shut_since);
+        return std::chrono::duration_cast<model::milliseconds>(
+            now - m_closed_since);
     }
 
 private:
     // A burst that one batch's turnover absorbs is over by then.
-    static constexpr model::milliseconds patience{400};
+    static constexpr model::milliseconds close_delay{400};
     // Demand above capacity comes and goes; opening at once would let the
     // queue fill up and run late anew each time.
-    static constexpr model::milliseconds relief{3000};
+    static constexpr model::milliseconds reopen_delay{3000};
 
     bool m_late = false;
-    bool m_shut = false;
+    bool m_closed = false;
     model::time_point m_since{};
-    model::time_point m_pressed{};
-    model::time_point m_shut_since{};
-    model::time_point m_opened{};
+    model::time_point m_last_overload{};
+    model::time_point m_closed_since{};
+    model::time_point m_opened_at{};
 };
 
 } // namespace caperjunction::decide
--- a/src/decide/peer.hpp
+++ b/src/decide/peer.hpp
@@ -13,7 +13,7 @@
 {
     std::string name;
     digest load;
-    model::time_point heard{};
+    model::time_point received_at{};
     /// False once it is gone, or silent for too long.
     bool live = false;
 };
--- a/src/decide/placement.hpp
+++ b/src/decide/placement.hpp
@@ -16,7 +16,7 @@
     index engine = no_index;
     model::milliseconds predicted{0};
     /// Prompt tokens that the engine is expected to compute.
-    double prefill = 0.0;
+    double prefill_tokens = 0.0;
     /// Bytes on the link between regions; 0 within the own one.
     double link_bytes = 0.0;
     /// What was weighed, for the log.
--- a/src/decide/placer.cpp
+++ b/src/decide/placer.cpp
@@ -15,19 +15,19 @@
 constexpr double trust_seconds = 120.0;
 // An engine takes work from the other region only while it is well below its
 // bound: otherwise both sides send their overflow across, and pay for it.
-constexpr double across_below = 0.8;
-constexpr double highest_tier_across_below = 0.97;
+constexpr double max_remote_load = 0.8;
+constexpr double max_highest_tier_remote_load = 0.97;
 // Between engines of equal first token the emptier one decodes faster.
 constexpr double load_penalty_ms = 30.0;
 // On the engines that fall to this host it knows most of the prompts that
 // wait; on the others those of other hosts come as a surprise.
-constexpr double foreign_penalty_ms = 80.0;
+constexpr double unowned_penalty_ms = 80.0;
 // No two hosts have as much of one engine.
-constexpr double suspect_share = 0.51;
+constexpr double min_suspect_share = 0.51;
 // By then the others' digests tell where their suspects run.
-constexpr model::milliseconds suspect_patience{1000};
+constexpr model::milliseconds suspect_delay{1000};
 // Paid bytes have to buy a noticeable gain.
-constexpr double across_penalty_ms = 100.0;
+constexpr double remote_penalty_ms = 100.0;
 
 } // namespace
 
@@ -56,9 +56,9 @@
         double const share =
             static_cast<double>(holder.blocks)
             / static_cast<double>(waiting.prefix_blocks.size());
-        double const fresh = std::exp(-holder.age.count() / trust_seconds);
+        double const recency = std::exp(-holder.age.count() / trust_seconds);
         double const trust = engines.at(engine).cache_trust;
-        return waiting.prompt_tokens * share * fresh * trust;
+        return waiting.prompt_tokens * share * recency * trust;
     }
     return 0.0;
 }
@@ -78,54 +78,54 @@
                         std::size_t tiers,
                         model::time_point now)
 {
-    choice own{waiting, engines, now, {}, tiers, {}};
+    choice selected{waiting, engines, now, {}, tiers, {}};
     if (!waiting.prefix_blocks.empty()) {
-        own.holders = prefixes.find(waiting.prefix_blocks, now);
+        selected.holders = prefixes.find(waiting.prefix_blocks, now);
     }
     model_group const& group = engines.groups()[waiting.group];
-    for (prefix_holder const& holder : own.holders) {
+    for (prefix_holder const& holder : selected.holders) {
         if (holder.engine != no_index && engines.at(holder.engine).own_region) {
-            weigh(own, holder.engine);
+            evaluate(selected, holder.engine);
         }
     }
-    sample(own, group.own.owned);
-    sample(own, group.own.any_tier);
+    sample(selected, group.own_region.owned);
+    sample(selected, group.own_region.any_tier);
     // The last room of an engine is the highest tier's alone.
     if ((waiting.tier == 0 || waiting.attempt > 0)
-        && own.best.engine == no_index) {
-        sample(own, group.own.highest_tier);
+        && selected.best.engine == no_index) {
+        sample(selected, group.own_region.highest_tier);
     }
-    if (own.best.engine == no_index) {
-        weigh_across(own);
+    if (selected.best.engine == no_index) {
+        evaluate_remote(selected);
     }
-    return std::move(own.best);
+    return std::move(selected.best);
 }
 
-void placer::use(placement const& chosen, model::time_point now)
+void placer::charge_link(placement const& chosen, model::time_point now)
 {
     if (chosen.link_bytes > 0.0) {
-        m_link.take(chosen.link_bytes, now);
+        m_link.consume(chosen.link_bytes, now);
     }
 }
 
-void placer::sample(choice& own, open_list const& from)
+void placer::sample(choice& selected, engine_set const& from)
 {
-    std::vector<index> const& open = from.engines();
-    if (open.size() <= max_samples) {
-        for (index const engine : open) {
-            weigh(own, engine);
+    std::vector<index> const& available = from.engines();
+    if (available.size() <= max_samples) {
+        for (index const engine : available) {
+            evaluate(selected, engine);
         }
         return;
     }
     for (std::size_t count = 0; count < max_samples; ++count) {
-        weigh(own, open[m_random() % open.size()]);
+        evaluate(selected, available[m_random() % available.size()]);
     }
 }
 
-bool placer::allowed(choice const& own, index place)
+bool placer::is_eligible(choice const& selected, index engine_index)
 {
-    engine_state const& engine = own.engines.at(place);
-    entry const& waiting = own.waiting;
+    engine_state const& engine = selected.engines.at(engine_index);
+    entry const& waiting = selected.waiting;
     auto const& groups = engine.groups;
     if (std::find(groups.begin(), groups.end(), waiting.group)
         == groups.end()) {
@@ -133,17 +133,21 @@
     }
     // The last room is for the highest tier, and for suspects that were
     // running: their room has been taken from them.
-    room const room = own.engines.room_of(engine, own.now);
-    bool const resumed = waiting.suspect && waiting.attempt > 0;
-    bool const last_room = waiting.tier == 0 || resumed;
-    if (room == room::none || (room == room::highest_tier && !last_room)) {
+    engine_capacity const capacity =
+        selected.engines.capacity_of(engine, selected.now);
+    bool const is_resumed_suspect = waiting.suspect && waiting.attempt > 0;
+    bool const may_use_reserve = waiting.tier == 0 || is_resumed_suspect;
+    if (capacity == engine_capacity::none
+        || (capacity == engine_capacity::highest_tier && !may_use_reserve)) {
         return false;
     }
     // The lowest tier leaves room to those between: its answers are the
     // longest as a rule, and what it holds comes free too late for them.
-    bool const lowest =
-        waiting.tier > 0 && waiting.tier + 1 == own.tiers && !waiting.owed;
-    if (lowest && !own.engines.room_for_lowest(engine, own.now)) {
+    bool const is_lowest_tier = waiting.tier > 0
+                                && waiting.tier + 1 == selected.tiers
+                                && !waiting.below_share;
+    if (is_lowest_tier
+        && !selected.engines.has_capacity_for_lowest(engine, selected.now)) {
         return false;
     }
     // A request in flight at a crash may be its cause. Kept apart, a second
@@ -153,81 +157,87 @@
     if (!waiting.suspect) {
         return true;
     }
-    bool const patience_over = own.now - waiting.queued_at > suspect_patience;
+    bool const delay_over = selected.now - waiting.queued_at > suspect_delay;
     return engine.suspects + engine.peer_suspects == 0
-           && (engine.owned >= suspect_share || patience_over);
+           && (engine.owned_share >= min_suspect_share || delay_over);
 }
 
-void placer::weigh(choice& own, index place)
+void placer::evaluate(choice& selected, index engine_index)
 {
-    engine_state const& engine = own.engines.at(place);
-    entry const& waiting = own.waiting;
-    for (candidate const& known : own.best.candidates) {
-        if (known.upstream == engine.name) {
+    engine_state const& engine = selected.engines.at(engine_index);
+    entry const& waiting = selected.waiting;
+    for (candidate const& scored : selected.best.candidates) {
+        if (scored.upstream == engine.name) {
             return;
         }
     }
-    if (!allowed(own, place)) {
+    if (!is_eligible(selected, engine_index)) {
         return;
     }
-    double const uncached =
-        std::max(0.0,
-                 waiting.prompt_tokens + static_cast<double>(waiting.relayed)
-                     - own.cached_tokens(place));
-    model::milliseconds predicted = engine.predict_first_token(
-        uncached,
-        own.engines.groups()[waiting.group].prefill.tokens_per_second(),
-        own.now);
+    double const uncached = std::max(
+        0.0,
+        waiting.prompt_tokens + static_cast<double>(waiting.relayed_tokens)
+            - selected.cached_tokens(engine_index));
+    model::milliseconds predicted =
+        engine.predict_first_token(uncached,
+                                   selected.engines.groups()[waiting.group]
+                                       .prefill_estimate.tokens_per_second(),
+                                   selected.now);
     double score = static_cast<double>(predicted.count());
-    score += load_penalty_ms * engine.outstanding(own.now)
-             / std::max(1.0, engine.bound());
-    score += foreign_penalty_ms * (1.0 - engine.owned);
+    score += load_penalty_ms * engine.outstanding(selected.now)
+             / std::max(1.0, engine.concurrency_limit());
+    score += unowned_penalty_ms * (1.0 - engine.owned_share);
     if (!engine.own_region) {
         predicted += m_link_delay;
-        score += static_cast<double>(m_link_delay.count()) + across_penalty_ms;
+        score += static_cast<double>(m_link_delay.count()) + remote_penalty_ms;
     }
-    if (waiting.avoided == place || engine.suspects > 0) {
+    if (waiting.avoided_upstream == engine_index || engine.suspects > 0) {
         score += 10'000.0;
     }
-    own.best.candidates.push_back({engine.name, predicted});
-    if (score < own.best_score) {
-        own.best_score = score;
-        own.best.engine = place;
-        own.best.predicted = predicted;
-        own.best.prefill = uncached;
+    selected.best.candidates.push_back({engine.name, predicted});
+    if (score < selected.best_score) {
+        selected.best_score = score;
+        selected.best.engine = engine_index;
+        selected.best.predicted = predicted;
+        selected.best.prefill_tokens = uncached;
     }
 }
 
-void placer::weigh_across(choice& own)
+void placer::evaluate_remote(choice& selected)
 {
-    region_room const& others = own.engines.groups()[own.waiting.group].others;
-    double const bytes = link_budget::estimate(own.waiting.prompt_tokens,
-                                               own.waiting.expected_output);
-    if (!m_link.allows(bytes, own.now)) {
+    region_capacity const& remote =
+        selected.engines.groups()[selected.waiting.group].other_regions;
+    double const bytes = link_budget::estimate(
+        selected.waiting.prompt_tokens, selected.waiting.expected_output);
+    if (!m_link.has_budget(bytes, selected.now)) {
         return;
     }
-    sample_across(own, others.any_tier, across_below);
+    sample_remote(selected, remote.any_tier, max_remote_load);
     // What the highest tier would lose here by waiting is worth its bytes.
-    if (own.waiting.tier == 0 && own.best.engine == no_index) {
-        sample_across(own, others.any_tier, highest_tier_across_below);
+    if (selected.waiting.tier == 0 && selected.best.engine == no_index) {
+        sample_remote(selected, remote.any_tier, max_highest_tier_remote_load);
     }
-    if (own.waiting.tier == 0 && own.best.engine == no_index) {
-        sample_across(own, others.highest_tier, highest_tier_across_below);
+    if (selected.waiting.tier == 0 && selected.best.engine == no_index) {
+        sample_remote(
+            selected, remote.highest_tier, max_highest_tier_remote_load);
     }
-    if (own.best.engine != no_index) {
-        own.best.link_bytes = bytes;
+    if (selected.best.engine != no_index) {
+        selected.best.link_bytes = bytes;
     }
 }
 
-void placer::sample_across(choice& own, open_list const& from, double below)
+void placer::sample_remote(choice& selected,
+                           engine_set const& from,
+                           double max_load)
 {
-    std::vector<index> const& open = from.engines();
-    std::size_t const count = std::min(open.size(), max_samples);
-    for (std::size_t tried = 0; tried < count; ++tried) {
-        index const place = open[m_random() % open.size()];
-        engine_state const& engine = own.engines.at(place);
-        if (engine.outstanding(own.now) < below * engine.bound()) {
-            weigh(own, place);
+    std::vector<index> const& available = from.engines();
+    std::size_t const count = std::min(available.size(), max_samples);
+    for (std::size_t sampled = 0; sampled < count; ++sampled) {
+        index const engine_index = available[m_random() % available.size()];
+        engine_state const& engine = selected.engines.at(engine_index);
+        if (engine.outstanding(selected.now)
+            < max_load * engine.concurrency_limit()) {
+            evaluate(selected, engine_index);
         }
     }
 }
--- a/src/decide/placer.hpp
+++ b/src/decide/placer.hpp
@@ -37,16 +37,16 @@
                     model::time_point now);
 
     /// Books the link bytes of a placement that is used.
-    void use(placement const& chosen, model::time_point now);
+    void charge_link(placement const& chosen, model::time_point now);
 
 private:
     struct choice;
 
-    void sample(choice& own, open_list const& from);
-    static bool allowed(choice const& own, index engine);
-    void weigh(choice& own, index engine);
-    void weigh_across(choice& own);
-    void sample_across(choice& own, open_list const& from, double below);
+    void sample(choice& own, engine_set const& from);
+    static bool is_eligible(choice const& own, index engine);
+    void evaluate(choice& own, index engine);
+    void evaluate_remote(choice& own);
+    void sample_remote(choice& own, engine_set const& from, double below);
 
     std::mt19937_64 m_random;
     link_budget m_link;
--- a/src/decide/policy_table.cpp
+++ b/src/decide/policy_table.cpp
@@ -33,14 +33,14 @@
     m_tier_names = std::move(names);
     m_shares = std::move(shares);
     for (lists::service_class const& source : m_catalogue->plans().classes) {
-        class_rules const fresh = read(source);
-        index const place = class_index(source.name);
-        changed = changed || !(m_rules[place] == fresh);
-        m_rules[place] = fresh;
+        class_rules const updated = read(source);
+        index const class_id = class_index(source.name);
+        changed = changed || !(m_rules[class_id] == updated);
+        m_rules[class_id] = updated;
     }
-    for (index place = 0; place < m_rules.size(); ++place) {
-        if (m_catalogue->find_class(m_class_names.name(place)) == nullptr) {
-            m_rules[place].tier = lowest_tier();
+    for (index class_id = 0; class_id < m_rules.size(); ++class_id) {
+        if (m_catalogue->find_class(m_class_names.name(class_id)) == nullptr) {
+            m_rules[class_id].tier = lowest_tier();
         }
     }
     return changed;
@@ -48,12 +48,12 @@
 
 index policy_table::class_index(std::string const& name)
 {
-    index const place = m_class_names.intern(name);
-    if (place == m_rules.size()) {
+    index const class_id = m_class_names.intern(name);
+    if (class_id == m_rules.size()) {
         m_rules.emplace_back();
         m_rules.back().tier = lowest_tier();
     }
-    return place;
+    return class_id;
 }
 
 lists::usage_limits policy_table::limits(std::string const& plan) const
@@ -71,8 +71,8 @@
     rules.tier = found == m_tier_names.end()
                      ? lowest_tier()
                      : static_cast<index>(found - m_tier_names.begin());
-    rules.first_token = source.first_token;
-    rules.between_tokens = source.between_tokens;
+    rules.first_token_target = source.first_token;
+    rules.inter_token_target = source.between_tokens;
     rules.max_wait = source.max_wait;
     rules.max_output_tokens = source.max_output_tokens;
     rules.retry_ratio = source.retry_ratio;
--- a/src/decide/policy_table.hpp
+++ b/src/decide/policy_table.hpp
@@ -29,9 +29,9 @@
     /// defaults in the lowest tier.
     index class_index(std::string const& name);
 
-    class_rules const& rules(index class_place) const
+    class_rules const& rules(index class_id) const
     {
-        return m_rules[class_place];
+        return m_rules[class_id];
     }
 
     std::size_t classes() const
--- a/src/decide/prefill_rate.hpp
+++ b/src/decide/prefill_rate.hpp
@@ -21,14 +21,14 @@
     /// `computed` is what the engine did not find in its cache.
     void observe(double computed, model::seconds first_token)
     {
-        double const time = std::max(shortest, first_token.count());
-        if (computed < telling_tokens) {
+        double const time = std::max(min_seconds, first_token.count());
+        if (computed < min_tokens) {
             return;
         }
         double const sample = computed / time;
-        m_rate *= sample > m_rate ? 1.0 + step * quantile
-                                  : 1.0 - step * (1.0 - quantile);
-        m_rate = std::clamp(m_rate, least, most);
+        m_rate *= sample > m_rate ? 1.0 + adjustment_step * quantile
+                                  : 1.0 - adjustment_step * (1.0 - quantile);
+        m_rate = std::clamp(m_rate, min_rate, max_rate);
     }
 
     double tokens_per_second() const
@@ -38,11 +38,11 @@
 
 private:
     static constexpr double quantile = 0.5;
-    static constexpr double step = 0.05;
-    static constexpr double telling_tokens = 192.0;
-    static constexpr double shortest = 0.001;
-    static constexpr double least = 200.0;
-    static constexpr double most = 500'000.0;
+    static constexpr double adjustment_step = 0.05;
+    static constexpr double min_tokens = 192.0;
+    static constexpr double min_seconds = 0.001;
+    static constexpr double min_rate = 200.0;
+    static constexpr double max_rate = 500'000.0;
 
     double m_rate = 8000.0;
 };
--- a/src/decide/prefix_index.cpp
+++ b/src/decide/prefix_index.cpp
@@ -10,14 +10,14 @@
 // leading blocks already tell the engines apart.
 constexpr std::size_t max_lookups = 32;
 
-std::uint32_t whole_seconds(model::time_point now)
+std::uint32_t to_seconds(model::time_point now)
 {
     return static_cast<std::uint32_t>(
         std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch())
             .count());
 }
 
-std::uint32_t newest(std::array<std::uint32_t, 4> const& seconds)
+std::uint32_t last_update(std::array<std::uint32_t, 4> const& seconds)
 {
     return *std::max_element(seconds.begin(), seconds.end());
 }
@@ -26,11 +26,11 @@
 
 prefix_index::prefix_index(std::size_t sets)
     : m_mask(sets - 1)
-    , m_slots(sets * ways)
+    , m_slots(sets * ways_per_set)
 {
-    for (slot& one : m_slots) {
-        one.engines.fill(no_index);
-        one.seconds.fill(0);
+    for (slot& candidate : m_slots) {
+        candidate.engines.fill(no_index);
+        candidate.seconds.fill(0);
     }
 }
 
@@ -38,31 +38,31 @@
                          index engine,
                          model::time_point now)
 {
-    slot& own = claim(block);
-    std::size_t place = 0;
-    for (std::size_t other = 0; other < max_holders; ++other) {
-        if (own.engines[other] == engine) {
-            place = other;
+    slot& target = find_or_replace(block);
+    std::size_t position = 0;
+    for (std::size_t candidate = 0; candidate < max_holders; ++candidate) {
+        if (target.engines[candidate] == engine) {
+            position = candidate;
             break;
         }
-        if (own.seconds[other] < own.seconds[place]) {
-            place = other;
+        if (target.seconds[candidate] < target.seconds[position]) {
+            position = candidate;
         }
     }
-    own.engines[place] = engine;
-    own.seconds[place] = whole_seconds(now);
+    target.engines[position] = engine;
+    target.seconds[position] = to_seconds(now);
 }
 
 void prefix_index::evict(std::uint64_t block, index engine)
 {
-    if (look_up(block) == nullptr) {
+    if (find_slot(block) == nullptr) {
         return;
     }
-    slot& own = claim(block);
-    for (std::size_t place = 0; place < max_holders; ++place) {
-        if (own.engines[place] == engine) {
-            own.engines[place] = no_index;
-            own.seconds[place] = 0;
+    slot& target = find_or_replace(block);
+    for (std::size_t position = 0; position < max_holders; ++position) {
+        if (target.engines[position] == engine) {
+            target.engines[position] = no_index;
+            target.seconds[position] = 0;
         }
     }
 }
@@ -73,38 +73,40 @@
 {
     holders found{};
     std::size_t filled = 0;
-    std::uint32_t const present = whole_seconds(now);
+    std::uint32_t const now_seconds = to_seconds(now);
     // From the longest part down, so that each engine is met first with the
     // most blocks it holds.
-    std::size_t place = std::min(blocks.size(), max_lookups);
-    for (; place > 0 && filled < max_holders; --place) {
-        slot const* const known = look_up(blocks[place - 1]);
-        if (known == nullptr) {
+    std::size_t length = std::min(blocks.size(), max_lookups);
+    for (; length > 0 && filled < max_holders; --length) {
+        slot const* const block_slot = find_slot(blocks[length - 1]);
+        if (block_slot == nullptr) {
             continue;
         }
-        for (std::size_t at = 0; at < max_holders; ++at) {
-            index const engine = known->engines[at];
-            bool const met = engine == no_index
-                             || std::any_of(found.begin(),
-                                            found.begin() + filled,
-                                            [&](auto const& holder) {
-                                                return holder.engine == engine;
-                                            });
-            if (!met && filled < max_holders) {
+        for (std::size_t position = 0; position < max_holders; ++position) {
+            index const engine = block_slot->engines[position];
+            bool const is_listed =
+                engine == no_index
+                || std::any_of(found.begin(),
+                               found.begin() + filled,
+                               [&](auto const& holder) {
+                                   return holder.engine == engine;
+                               });
+            if (!is_listed && filled < max_holders) {
                 found[filled++] = {
                     engine,
-                    static_cast<std::uint32_t>(place),
-                    model::seconds(present - known->seconds[at])};
+                    static_cast<std::uint32_t>(length),
+                    model::seconds(now_seconds
+                                   - block_slot->seconds[position])};
             }
         }
     }
     return found;
 }
 
-prefix_index::slot const* prefix_index::look_up(std::uint64_t block) const
+prefix_index::slot const* prefix_index::find_slot(std::uint64_t block) const
 {
-    std::size_t const first = (block & m_mask) * ways;
-    for (std::size_t way = 0; way < ways; ++way) {
+    std::size_t const first = (block & m_mask) * ways_per_set;
+    for (std::size_t way = 0; way < ways_per_set; ++way) {
         if (m_slots[first + way].block == block) {
             return &m_slots[first + way];
         }
@@ -112,24 +114,25 @@
     return nullptr;
 }
 
-prefix_index::slot& prefix_index::claim(std::uint64_t block)
+prefix_index::slot& prefix_index::find_or_replace(std::uint64_t block)
 {
-    std::size_t const first = (block & m_mask) * ways;
+    std::size_t const first = (block & m_mask) * ways_per_set;
     std::size_t oldest = first;
-    for (std::size_t way = 0; way < ways; ++way) {
-        slot& one = m_slots[first + way];
-        if (one.block == block) {
-            return one;
+    for (std::size_t way = 0; way < ways_per_set; ++way) {
+        slot& candidate = m_slots[first + way];
+        if (candidate.block == block) {
+            return candidate;
         }
-        if (newest(one.seconds) < newest(m_slots[oldest].seconds)) {
+        if (last_update(candidate.seconds)
+            < last_update(m_slots[oldest].seconds)) {
             oldest = first + way;
         }
     }
-    slot& fresh = m_slots[oldest];
-    fresh.block = block;
-    fresh.engines.fill(no_index);
-    fresh.seconds.fill(0);
-    return fresh;
+    slot& replaced = m_slots[oldest];
+    replaced.block = block;
+    replaced.engines.fill(no_index);
+    replaced.seconds.fill(0);
+    return replaced;
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/prefix_index.hpp
+++ b/src/decide/prefix_index.hpp
@@ -50,7 +50,7 @@
     }
 
 private:
-    static constexpr std::size_t ways = 4;
+    static constexpr std::size_t ways_per_set = 4;
 
     struct slot
     {
@@ -59,8 +59,8 @@
         std::array<std::uint32_t, max_holders> seconds;
     };
 
-    slot const* look_up(std::uint64_t block) const;
-    slot& claim(std::uint64_t block);
+    slot const* find_slot(std::uint64_t block) const;
+    slot& find_or_replace(std::uint64_t block);
 
     std::size_t m_mask;
     std::vector<slot> m_slots;
--- a/src/decide/quarantine.hpp
+++ b/src/decide/quarantine.hpp
@@ -15,7 +15,7 @@
 {
     /// Evidence from crashes: 2 for a telling one, 1 for any other.
     std::uint32_t evidence = 0;
-    model::time_point last{};
+    model::time_point last_evidence{};
     /// The latest crash counted on this host; the engine is `no_index` if all
     /// that is known of it comes from others.
     model::time_point last_crash{};
@@ -42,24 +42,25 @@
     /// It is `telling` if the request had just started there, or was the only
     /// one that can have caused it. One crash is told many times, once for
     /// each broken connection; it counts once.
-    bool crashed(std::uint64_t fingerprint,
-                 index engine,
-                 bool telling,
-                 model::time_point now);
+    bool record_crash(std::uint64_t fingerprint,
+                      index engine,
+                      bool is_strong,
+                      model::time_point now);
 
     /// A request with this fingerprint ended well: it was not the cause.
-    void cleared(std::uint64_t fingerprint);
+    void clear(std::uint64_t fingerprint);
 
-    void running(std::uint64_t fingerprint, std::uint32_t engine_hash);
+    void set_running_engine(std::uint64_t fingerprint,
+                            std::uint32_t engine_hash);
 
-    bool suspected(std::uint64_t fingerprint) const;
+    bool is_suspect(std::uint64_t fingerprint) const;
 
     /// Time left in quarantine; zero if it may run.
     model::milliseconds remaining(std::uint64_t fingerprint,
                                   model::time_point now) const;
 
     /// Takes over what another host knows.
-    void learn(std::uint64_t fingerprint,
+    void merge(std::uint64_t fingerprint,
                std::uint32_t evidence,
                model::milliseconds remaining,
                model::time_point now);
--- a/src/decide/rate_limiter.hpp
+++ b/src/decide/rate_limiter.hpp
@@ -22,21 +22,21 @@
 {
 public:
     /// Zero if a request may pass now, otherwise when to come back.
-    model::milliseconds check(lists::usage_limits const& limits,
-                              model::time_point now) const
+    model::milliseconds delay_until_allowed(lists::usage_limits const& limits,
+                                            model::time_point now) const
     {
         if (limits.concurrent_requests > 0
             && m_concurrent + peer_concurrent >= limits.concurrent_requests) {
-            return concurrent_pause;
+            return concurrency_delay;
         }
-        model::milliseconds const requests =
-            excess(limits.requests_per_second, m_requests, peer_requests, now);
-        model::milliseconds const tokens =
-            excess(limits.tokens_per_second, m_tokens, peer_tokens, now);
+        model::milliseconds const requests = delay_for_rate(
+            limits.requests_per_second, m_requests, peer_requests, now);
+        model::milliseconds const tokens = delay_for_rate(
+            limits.tokens_per_second, m_tokens, peer_tokens, now);
         return std::max(requests, tokens);
     }
 
-    void admitted(double tokens, model::time_point now)
+    void record_admission(double tokens, model::time_point now)
     {
         ++m_concurrent;
         m_requests.add(1.0, now);
@@ -44,7 +44,7 @@
     }
 
     /// \pre one `admitted` has had no `ended`.
-    void ended(double token_correction, model::time_point now)
+    void record_end(double token_correction, model::time_point now)
     {
         m_concurrent -= m_concurrent > 0 ? 1 : 0;
         m_tokens.add(token_correction, now);
@@ -74,14 +74,14 @@
     // Long enough that a team's pause and burst even out, short enough that
     // one over its limit is let in again within seconds.
     static constexpr model::milliseconds horizon{5000};
-    static constexpr model::milliseconds concurrent_pause{1000};
+    static constexpr model::milliseconds concurrency_delay{1000};
 
-    static model::milliseconds excess(double limit,
-                                      decaying_rate const& own,
-                                      double peers,
-                                      model::time_point now)
+    static model::milliseconds delay_for_rate(double limit,
+                                              decaying_rate const& local,
+                                              double peer_rate,
+                                              model::time_point now)
     {
-        double const rate = own.per_second(now) + peers;
+        double const rate = local.per_second(now) + peer_rate;
         if (limit <= 0.0 || rate < limit) {
             return model::milliseconds{0};
         }
--- a/src/decide/replay.cpp
+++ b/src/decide/replay.cpp
@@ -13,36 +13,36 @@
 
 namespace {
 
-class player
+class session_player
 {
 public:
     void play(session_line const& line)
     {
-        pass_until(line.milliseconds());
-        if (!describe(line)) {
-            feed(line);
+        advance_to(line.milliseconds());
+        if (!add_definition(line)) {
+            handle_event(line);
         }
     }
 
-    std::string take_log()
+    std::string release_log()
     {
         return std::move(m_log);
     }
 
 private:
     // The router is told of time at least this often.
-    void pass_until(std::uint64_t milliseconds)
+    void advance_to(std::uint64_t milliseconds)
     {
-        model::time_point const until =
+        model::time_point const target =
             start + model::milliseconds{milliseconds};
-        while (m_now + router::tick_period < until) {
+        while (m_now + router::tick_period < target) {
             m_now += router::tick_period;
             handle(tick{});
         }
-        m_now = std::max(m_now, until);
+        m_now = std::max(m_now, target);
     }
 
-    bool describe(session_line const& line)
+    bool add_definition(session_line const& line)
     {
         std::string const& verb = line.verb();
         if (verb == "tier") {
@@ -54,11 +54,11 @@
         } else if (verb == "engine") {
             add_engine(line);
         } else if (verb == "service") {
-            model::service_instance made;
-            made.service = line.text("service");
-            made.name = line.text("name");
-            made.region = line.text("region", home);
-            m_upstreams.services.push_back(made);
+            model::service_instance built;
+            built.service = line.text("service");
+            built.name = line.text("name");
+            built.region = line.text("region", default_region);
+            m_upstreams.services.push_back(built);
         } else {
             return false;
         }
@@ -67,25 +67,26 @@
 
     void add_class(session_line const& line)
     {
-        lists::service_class made;
-        made.name = line.text("name");
-        made.tier = line.text("tier");
-        made.first_token = model::milliseconds{line.number("first_token", 490)};
-        made.max_wait = model::milliseconds{line.number("max_wait", 5000)};
-        m_plans.classes.push_back(made);
+        lists::service_class built;
+        built.name = line.text("name");
+        built.tier = line.text("tier");
+        built.first_token =
+            model::milliseconds{line.number("first_token", 490)};
+        built.max_wait = model::milliseconds{line.number("max_wait", 5000)};
+        m_plans.classes.push_back(built);
     }
 
     void add_engine(session_line const& line)
     {
-        model::engine made;
-        made.name = line.text("name");
-        made.region = line.text("region", home);
-        made.models = {line.text("model")};
-        made.slots = static_cast<std::uint32_t>(line.number("slots", 0));
-        m_upstreams.engines.push_back(made);
+        model::engine built;
+        built.name = line.text("name");
+        built.region = line.text("region", default_region);
+        built.models = {line.text("model")};
+        built.slots = static_cast<std::uint32_t>(line.number("slots", 0));
+        m_upstreams.engines.push_back(built);
     }
 
-    void feed(session_line const& line)
+    void handle_event(session_line const& line)
     {
         std::string const& verb = line.verb();
         model::request_id const id{line.number("id", 0)};
@@ -119,22 +120,22 @@
 
     request read_request(session_line const& line) const
     {
-        request made;
-        made.id = {line.number("id", 0)};
-        made.customer = line.text("customer", "customer");
-        made.team = line.text("team", "team");
-        made.plan = line.text("plan", "plan");
-        made.service_class = line.text("class");
-        made.model = line.text("model");
-        made.service = line.text("service");
-        made.prompt_tokens =
+        request built;
+        built.id = {line.number("id", 0)};
+        built.customer = line.text("customer", "customer");
+        built.team = line.text("team", "team");
+        built.plan = line.text("plan", "plan");
+        built.service_class = line.text("class");
+        built.model = line.text("model");
+        built.service = line.text("service");
+        built.prompt_tokens =
             static_cast<std::uint32_t>(line.number("prompt", 100));
-        made.max_output_tokens =
+        built.max_output_tokens =
             static_cast<std::uint32_t>(line.number("output", 100));
-        made.fingerprint = line.number("fingerprint", made.id.value);
-        made.repeatable = line.number("repeatable", 1) != 0;
-        made.arrived = m_now;
-        return made;
+        built.fingerprint = line.number("fingerprint", built.id.value);
+        built.repeatable = line.number("repeatable", 1) != 0;
+        built.arrived = m_now;
+        return built;
     }
 
     static attempt_end read_end(session_line const& line)
@@ -153,21 +154,21 @@
         return found->second;
     }
 
-    void handle(event const& happened)
+    void handle(event const& input)
     {
         std::vector<decision> out;
-        m_router.handle(happened, m_now, out);
+        m_router.handle(input, m_now, out);
         auto const now =
             std::chrono::duration_cast<model::milliseconds>(m_now - start);
-        for (decision const& made : out) {
-            m_log += std::to_string(now.count()) + ' ' + to_text(made) + '\n';
+        for (decision const& result : out) {
+            m_log += std::to_string(now.count()) + ' ' + to_text(result) + '\n';
         }
     }
 
-    static constexpr char const* home = "west";
+    static constexpr char const* default_region = "west";
     static constexpr model::time_point start{std::chrono::hours{1}};
 
-    router m_router{{"host-1", home, "west-a", 1}};
+    router m_router{{"host-1", default_region, "west-a", 1}};
     model::time_point m_now = start;
     lists::plan_list m_plans;
     model::upstreams m_upstreams;
@@ -178,7 +179,7 @@
 
 std::string replay(std::string_view session)
 {
-    player own;
+    session_player replayed;
     std::size_t number = 0;
     while (!session.empty()) {
         std::size_t const end = std::min(session.find('\n'), session.size());
@@ -186,10 +187,10 @@
         session.remove_prefix(std::min(end + 1, session.size()));
         ++number;
         if (!line.empty() && line.front() != '#') {
-            own.play(session_line(line, number));
+            replayed.play(session_line(line, number));
         }
     }
-    return own.take_log();
+    return replayed.release_log();
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/retry_budget.hpp
+++ b/src/decide/retry_budget.hpp
@@ -20,14 +20,14 @@
 public:
     void record_attempt(double ratio, model::time_point now)
     {
-        settle(now);
-        m_tokens = std::min(m_tokens + ratio, most);
+        decay(now);
+        m_tokens = std::min(m_tokens + ratio, max_retries);
     }
 
     /// Takes one retry; false if none may be made.
-    bool try_take(model::time_point now)
+    bool try_acquire(model::time_point now)
     {
-        settle(now);
+        decay(now);
         if (m_tokens < 1.0) {
             return false;
         }
@@ -37,21 +37,22 @@
 
 private:
     // A batch of today's engines in flight at a crash, on one host.
-    static constexpr double floor = 64.0;
-    static constexpr double most = 256.0;
+    static constexpr double min_retries = 64.0;
+    static constexpr double max_retries = 256.0;
     static constexpr double window_seconds = 10.0;
 
     // Yesterday's calm must not pay for a storm now, nor a drained class stay
     // without retries: the level returns to the floor over the window.
-    void settle(model::time_point now)
+    void decay(model::time_point now)
     {
         double const age = model::seconds(now - m_updated).count();
-        double const kept = std::clamp(1.0 - age / window_seconds, 0.0, 1.0);
-        m_tokens = floor + (m_tokens - floor) * kept;
+        double const remaining =
+            std::clamp(1.0 - age / window_seconds, 0.0, 1.0);
+        m_tokens = min_retries + (m_tokens - min_retries) * remaining;
         m_updated = now;
     }
 
-    double m_tokens = floor;
+    double m_tokens = min_retries;
     model::time_point m_updated{};
 };
 
--- a/src/decide/router.cpp
+++ b/src/decide/router.cpp
@@ -6,7 +6,7 @@
 
 struct router::state
 {
-    core own;
+    core logic;
 };
 
 router::router(router_settings settings)
@@ -18,16 +18,16 @@
 router::router(router&&) noexcept = default;
 router& router::operator=(router&&) noexcept = default;
 
-void router::handle(event const& happened,
+void router::handle(event const& input,
                     model::time_point now,
                     std::vector<decision>& out)
 {
-    m_state->own.handle(happened, now, out);
+    m_state->logic.handle(input, now, out);
 }
 
 std::vector<std::uint8_t> router::digest(model::time_point now) const
 {
-    return m_state->own.digest_bytes(now);
+    return m_state->logic.digest_bytes(now);
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/router.hpp
+++ b/src/decide/router.hpp
@@ -45,7 +45,7 @@
     /// Takes one event at time `now` and appends what is to be done to `out`.
     ///
     /// \pre `now` is not before that of any earlier call.
-    void handle(event const& happened,
+    void handle(event const& input,
                 model::time_point now,
                 std::vector<decision>& out);
 
