--- a/src/decide/service_table.cpp
+++ b/src/decide/service_table.cpp
@@ -18,27 +18,27 @@
 
 void service_table::apply(model::upstreams const& listed)
 {
-    for (instance& one : m_instances) {
-        one.listed = false;
+    for (instance& target : m_instances) {
+        target.listed = false;
     }
-    for (auto& places : m_by_service) {
-        places.clear();
+    for (auto& indices : m_by_service) {
+        indices.clear();
     }
     for (model::service_instance const& source : listed.services) {
         index const service = m_services.intern(source.service);
         if (service == m_by_service.size()) {
             m_by_service.emplace_back();
         }
-        index const place = m_names.intern(source.name);
-        if (place == m_instances.size()) {
+        index const instance_index = m_names.intern(source.name);
+        if (instance_index == m_instances.size()) {
             m_instances.emplace_back();
         }
-        instance& one = m_instances[place];
-        one.service = service;
-        one.own_region = source.region == m_region;
-        one.listed = !source.leaving;
-        if (one.listed) {
-            m_by_service[service].push_back(place);
+        instance& target = m_instances[instance_index];
+        target.service = service;
+        target.own_region = source.region == m_region;
+        target.listed = !source.leaving;
+        if (target.listed) {
+            m_by_service[service].push_back(instance_index);
         }
     }
 }
@@ -46,20 +46,22 @@
 index service_table::choose(index service, index avoided) const
 {
     index best = no_index;
-    for (index const place : m_by_service[service]) {
-        instance const& one = m_instances[place];
-        if (place == avoided || one.outstanding >= max_outstanding) {
+    for (index const instance_index : m_by_service[service]) {
+        instance const& candidate = m_instances[instance_index];
+        if (instance_index == avoided
+            || candidate.outstanding >= max_outstanding) {
             continue;
         }
         if (best == no_index) {
-            best = place;
+            best = instance_index;
             continue;
         }
-        instance const& other = m_instances[best];
-        bool const nearer = one.own_region && !other.own_region;
-        bool const as_near = one.own_region == other.own_region;
-        if (nearer || (as_near && one.outstanding < other.outstanding)) {
-            best = place;
+        instance const& current = m_instances[best];
+        bool const is_nearer = candidate.own_region && !current.own_region;
+        bool const same_distance = candidate.own_region == current.own_region;
+        if (is_nearer
+            || (same_distance && candidate.outstanding < current.outstanding)) {
+            best = instance_index;
         }
     }
     return best;
@@ -70,14 +72,14 @@
     return !m_by_service[service].empty();
 }
 
-void service_table::started(index place)
+void service_table::record_start(index instance_index)
 {
-    ++m_instances[place].outstanding;
+    ++m_instances[instance_index].outstanding;
 }
 
-void service_table::ended(index place)
+void service_table::record_end(index instance_index)
 {
-    --m_instances[place].outstanding;
+    --m_instances[instance_index].outstanding;
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/service_table.hpp
+++ b/src/decide/service_table.hpp
@@ -33,14 +33,14 @@
 
     bool has_instances(index service) const;
 
-    void started(index place);
+    void record_start(index instance_index);
 
     /// \pre one `started` has had no `ended`.
-    void ended(index place);
+    void record_end(index instance_index);
 
-    std::string const& name(index place) const
+    std::string const& name(index instance_index) const
     {
-        return m_names.name(place);
+        return m_names.name(instance_index);
     }
 
 private:
--- a/src/decide/session_line.cpp
+++ b/src/decide/session_line.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-bool parse_number(std::string const& text, std::uint64_t& into)
+bool parse_number(std::string const& text, std::uint64_t& value)
 {
     char const* const end = text.data() + text.size();
-    auto const read = std::from_chars(text.data(), end, into);
-    return !text.empty() && read.ec == std::errc{} && read.ptr == end;
+    auto const result = std::from_chars(text.data(), end, value);
+    return !text.empty() && result.ec == std::errc{} && result.ptr == end;
 }
 
 } // namespace
@@ -34,32 +34,33 @@
 }
 
 std::string session_line::text(std::string_view key,
-                               std::string otherwise) const
+                               std::string default_value) const
 {
-    std::string const start = std::string(key) + '=';
+    std::string const prefix = std::string(key) + '=';
     for (std::string const& word : m_words) {
-        if (word.rfind(start, 0) == 0) {
-            return word.substr(start.size());
+        if (word.rfind(prefix, 0) == 0) {
+            return word.substr(prefix.size());
         }
     }
-    return otherwise;
+    return default_value;
 }
 
 std::uint64_t session_line::number(std::string_view key,
-                                   std::uint64_t otherwise) const
+                                   std::uint64_t default_value) const
 {
-    std::string const found = text(key);
-    std::uint64_t value = otherwise;
-    if (!found.empty() && !parse_number(found, value)) {
+    std::string const value_text = text(key);
+    std::uint64_t value = default_value;
+    if (!value_text.empty() && !parse_number(value_text, value)) {
         fail(std::string(key) + " is no number");
     }
     return value;
 }
 
-double session_line::real(std::string_view key, double otherwise) const
+double session_line::real(std::string_view key, double default_value) const
 {
-    std::string const found = text(key);
-    return found.empty() ? otherwise : std::strtod(found.c_str(), nullptr);
+    std::string const value_text = text(key);
+    return value_text.empty() ? default_value
+                              : std::strtod(value_text.c_str(), nullptr);
 }
 
 void session_line::fail(std::string const& what) const
--- a/src/decide/session_line.hpp
+++ b/src/decide/session_line.hpp
@@ -27,12 +27,14 @@
         return m_verb;
     }
 
-    std::string text(std::string_view key, std::string otherwise = "") const;
+    std::string text(std::string_view key,
+                     std::string default_value = "") const;
 
     /// \throws model::error if the value is no number.
-    std::uint64_t number(std::string_view key, std::uint64_t otherwise) const;
+    std::uint64_t number(std::string_view key,
+                         std::uint64_t default_value) const;
 
-    double real(std::string_view key, double otherwise) const;
+    double real(std::string_view key, double default_value) const;
 
     /// Ends the reading of this line.
     /// \throws model::error, always.
--- a/src/decide/tier_queue.cpp
+++ b/src/decide/tier_queue.cpp
@@ -6,65 +6,65 @@
 
 namespace {
 
-constexpr std::size_t most_updates = 4;
+constexpr std::size_t max_updates = 4;
 
 } // namespace
 
-void tier_queue::push(entry& waiting, std::vector<double> const& elsewhere)
+void tier_queue::push(entry& waiting, std::vector<double> const& remote_tokens)
 {
     team_queue& team = m_teams[waiting.team];
     if (team.requests.empty()) {
         if (!m_active.empty()) {
             team.counter = std::max(team.counter, m_active.begin()->first);
         }
-        team.elsewhere = elsewhere[waiting.team];
+        team.remote_tokens = remote_tokens[waiting.team];
         m_active.emplace(team.counter, waiting.team);
     }
-    team.requests.emplace(order{waiting.deadline, waiting.id}, &waiting);
-    waiting.arrival_place = m_arrivals.insert(m_arrivals.end(), &waiting);
+    team.requests.emplace(request_key{waiting.deadline, waiting.id}, &waiting);
+    waiting.arrival_position = m_arrivals.insert(m_arrivals.end(), &waiting);
 }
 
 void tier_queue::remove(entry& waiting)
 {
     team_queue& team = m_teams[waiting.team];
-    team.requests.erase(order{waiting.deadline, waiting.id});
+    team.requests.erase(request_key{waiting.deadline, waiting.id});
     if (team.requests.empty()) {
         m_active.erase({team.counter, waiting.team});
     }
-    m_arrivals.erase(waiting.arrival_place);
+    m_arrivals.erase(waiting.arrival_position);
 }
 
-entry* tier_queue::head(std::vector<double> const& elsewhere)
+entry* tier_queue::head(std::vector<double> const& remote_tokens)
 {
     // A team that is served on all hosts at once would otherwise get as many
     // shares as there are hosts. What it got elsewhere is added when it comes
     // first, a few teams at a time: the rest is found by the next look.
-    for (std::size_t looked = 0; looked < most_updates; ++looked) {
+    for (std::size_t updates = 0; updates < max_updates; ++updates) {
         if (m_active.empty()) {
             return nullptr;
         }
-        index const first = m_active.begin()->second;
-        team_queue& team = m_teams[first];
-        double const owed = elsewhere[first] - team.elsewhere;
-        if (owed <= 0.0) {
+        index const first_team = m_active.begin()->second;
+        team_queue& team = m_teams[first_team];
+        double const uncharged = remote_tokens[first_team] - team.remote_tokens;
+        if (uncharged <= 0.0) {
             break;
         }
-        team.elsewhere = elsewhere[first];
-        charge(first, owed);
+        team.remote_tokens = remote_tokens[first_team];
+        charge(first_team, uncharged);
     }
     return m_teams[m_active.begin()->second].requests.begin()->second;
 }
 
 void tier_queue::charge(index team, double tokens)
 {
-    team_queue& charged = m_teams[team];
-    bool const active = !charged.requests.empty();
+    team_queue& queue = m_teams[team];
+    bool const active = !queue.requests.empty();
     if (active) {
-        m_active.erase({charged.counter, team});
+        m_active.erase({queue.counter, team});
     }
-    charged.counter += tokens;
+    queue.counter += tokens;
     if (active) {
-        m_active.emplace(charged.counter, team);
+        m_active.emplace(queue.counter, team);
     }
 }
 
--- a/src/decide/tier_queue.hpp
+++ b/src/decide/tier_queue.hpp
@@ -28,14 +28,14 @@
 {
 public:
     /// \pre `waiting` is not queued; it outlives its place here.
-    void push(entry& waiting, std::vector<double> const& elsewhere);
+    void push(entry& waiting, std::vector<double> const& remote_tokens);
 
     /// \pre `waiting` is queued here.
     void remove(entry& waiting);
 
     /// The request that goes next; null if there is none. `elsewhere` holds
     /// the tokens that each team has got on other hosts, ever growing.
-    entry* head(std::vector<double> const& elsewhere);
+    entry* head(std::vector<double> const& remote_tokens);
 
     /// The one that came last; null if there is none.
     entry* newest() const
@@ -63,14 +63,14 @@
     }
 
 private:
-    using order = std::pair<model::time_point, model::request_id>;
+    using request_key = std::pair<model::time_point, model::request_id>;
 
     struct team_queue
     {
         double counter = 0.0;
         /// Tokens elsewhere that the counter has in it.
-        double elsewhere = 0.0;
-        std::map<order, entry*> requests;
+        double remote_tokens = 0.0;
+        std::map<request_key, entry*> requests;
     };
 
     std::unordered_map<index, team_queue> m_teams;
--- a/src/decide/wait_estimator.hpp
+++ b/src/decide/wait_estimator.hpp
@@ -23,7 +23,7 @@
 class wait_estimator
 {
 public:
-    void arrived(index tier, model::time_point now)
+    void record_arrival(index tier, model::time_point now)
     {
         while (tier >= m_arrivals.size()) {
             m_arrivals.emplace_back(horizon);
@@ -31,13 +31,13 @@
         m_arrivals[tier].add(1.0, now);
     }
 
-    void started()
+    void record_start()
     {
         ++m_running;
     }
 
     /// \pre one `started` has had no `ended`.
-    void ended(model::milliseconds running_time)
+    void record_end(model::milliseconds running_time)
     {
         m_running -= m_running > 0 ? 1 : 0;
         m_durations.add(model::seconds(running_time).count());
@@ -49,10 +49,10 @@
     }
 
     /// Requests a second that this host's share of the engines ends.
-    double rate() const
+    double completion_rate() const
     {
         double const duration =
-            std::max(shortest, m_durations.value_or(unknown_duration));
+            std::max(min_duration, m_durations.value_or(default_duration));
         return std::max<double>(1.0, m_running) / duration;
     }
 
@@ -62,29 +62,32 @@
                                 index tier,
                                 model::time_point now) const
     {
-        double const total = rate();
+        double const total_rate = completion_rate();
         double higher_arrivals = 0.0;
-        double ahead = 0.0;
-        for (index place = 0; place < tier; ++place) {
-            ahead += static_cast<double>(queue.size(place));
-            higher_arrivals += place < m_arrivals.size()
-                                   ? m_arrivals[place].per_second(now)
+        double queued_ahead = 0.0;
+        for (index higher_tier = 0; higher_tier < tier; ++higher_tier) {
+            queued_ahead += static_cast<double>(queue.size(higher_tier));
+            higher_arrivals += higher_tier < m_arrivals.size()
+                                   ? m_arrivals[higher_tier].per_second(now)
                                    : 0.0;
         }
         double const share = tier < shares.size() ? shares[tier] : 0.0;
-        double const left =
-            std::max({total - higher_arrivals, share * total, 0.02 * total});
-        double const own = static_cast<double>(queue.size(tier)) / left;
-        double const seconds = std::min(most, ahead / total + own);
+        double const available = std::max({total_rate - higher_arrivals,
+                                           share * total_rate,
+                                           0.02 * total_rate});
+        double const own_wait =
+            static_cast<double>(queue.size(tier)) / available;
+        double const seconds =
+            std::min(max_seconds, queued_ahead / total_rate + own_wait);
         return model::milliseconds(static_cast<std::int64_t>(seconds * 1000.0));
     }
 
 private:
     static constexpr model::milliseconds horizon{3000};
-    static constexpr double shortest = 0.02;
-    static constexpr double unknown_duration = 1.0;
+    static constexpr double min_duration = 0.02;
+    static constexpr double default_duration = 1.0;
     // A longer forecast is worth nothing: demand will have changed.
-    static constexpr double most = 600.0;
+    static constexpr double max_seconds = 600.0;
 
     std::vector<decaying_rate> m_arrivals;
     std::uint32_t m_running = 0;
--- a/src/net/engine_reader.cpp
+++ b/src/net/engine_reader.cpp
@@ -124,7 +124,7 @@
     }
     decide::engine_report report;
     report.engine = name;
-    report.taken =
+    report.measured_at =
         m_loop.now() - model::milliseconds{count_in(load, "taken_ms_ago")};
     report.running = count_in(load, "running");
     report.waiting = count_in(load, "waiting");
--- a/tests/decide/history.hpp
+++ b/tests/decide/history.hpp
@@ -22,12 +22,12 @@
     void run(std::size_t count);
 
     /// Ends what runs and lets all waits pass.
-    void settle();
+    void finish_all();
 
     /// Empty if every promise was kept.
-    std::vector<std::string> const& faults() const
+    std::vector<std::string> const& violations() const
     {
-        return m_faults;
+        return m_violations;
     }
 
     std::vector<decide::decision> const& decisions() const
@@ -36,7 +36,7 @@
     }
 
 private:
-    enum class progress : std::uint8_t
+    enum class stage_kind : std::uint8_t
     {
         waiting,
         running,
@@ -44,42 +44,42 @@
         done,
     };
 
-    struct known
+    struct tracked_request
     {
         decide::request request;
-        progress stage = progress::waiting;
+        stage_kind stage = stage_kind::waiting;
         std::string upstream;
         std::uint32_t relayed = 0;
         std::uint32_t dispatches = 0;
-        bool maybe_ran = false;
+        bool may_have_run = false;
     };
 
     void step();
-    void arrive();
-    void advance();
-    void end_one();
-    void end(known& one, decide::attempt_end how);
-    void cancel();
+    void add_request();
+    void relay_tokens();
+    void end_random_attempt();
+    void end_attempt(tracked_request& request, decide::attempt_end end);
+    void cancel_request();
     void lose_engine();
-    void gossip();
+    void receive_digest();
     void change_upstreams();
-    void report();
-    void tell(decide::event const& happened);
-    void check(decide::decision const& made);
+    void report_load();
+    void handle(decide::event const& happened);
+    void check_decision(decide::decision const& made);
     void check_dispatch(decide::dispatch const& sent);
-    void check_order(known const& sent);
+    void check_order(tracked_request const& sent);
     void check_refusal(decide::refuse const& refused);
-    known* pick(progress wanted);
-    bool running_at_all() const;
-    void expect(bool kept, std::string const& promise);
-    std::uint64_t draw(std::uint64_t below);
+    tracked_request* pick_request(stage_kind stage);
+    bool has_unfinished() const;
+    void expect(bool holds, std::string const& guarantee);
+    std::uint64_t random_below(std::uint64_t limit);
 
     std::mt19937_64 m_random;
     session m_session;
-    decide::router m_other{{"host-2", "west", "west-a", 2}};
-    std::map<std::uint64_t, known> m_known;
-    std::uint64_t m_next = 1;
-    std::vector<std::string> m_faults;
+    decide::router m_peer{{"host-2", "west", "west-a", 2}};
+    std::map<std::uint64_t, tracked_request> m_requests;
+    std::uint64_t m_next_id = 1;
+    std::vector<std::string> m_violations;
 };
 
 } // namespace caperjunction::tests
--- a/tests/decide/history_test.cpp
+++ b/tests/decide/history_test.cpp
@@ -14,11 +14,11 @@
 TEST_CASE("no history of events breaks a promise to a caller")
 {
     CHECK(rc::check("promises", [](std::uint64_t seed) {
-        history own(seed);
-        own.run(300);
-        own.settle();
-        if (!own.faults().empty()) {
-            RC_FAIL(own.faults().front());
+        history sequence(seed);
+        sequence.run(300);
+        sequence.finish_all();
+        if (!sequence.violations().empty()) {
+            RC_FAIL(sequence.violations().front());
         }
     }));
 }
@@ -31,9 +31,10 @@
         first.run(200);
         second.run(200);
         RC_ASSERT(first.decisions().size() == second.decisions().size());
-        for (std::size_t at = 0; at < first.decisions().size(); ++at) {
-            RC_ASSERT(decide::to_text(first.decisions()[at])
-                      == decide::to_text(second.decisions()[at]));
+        for (std::size_t position = 0; position < first.decisions().size();
+             ++position) {
+            RC_ASSERT(decide::to_text(first.decisions()[position])
+                      == decide::to_text(second.decisions()[position]));
         }
     }));
 }
@@ -41,30 +42,31 @@
 TEST_CASE("any bytes are either a whole digest or none")
 {
     CHECK(rc::check("decode", [](std::vector<std::uint8_t> const& bytes) {
-        decide::digest into;
-        if (decide::decode(bytes, into)) {
-            RC_ASSERT(decide::encode(into) == bytes);
+        decide::digest decoded;
+        if (decide::decode(bytes, decoded)) {
+            RC_ASSERT(decide::encode(decoded) == bytes);
         }
     }));
 }
 
 TEST_CASE("a digest is read as it was written, and not if a byte differs")
 {
-    CHECK(rc::check("round trip", [](std::uint8_t count, std::size_t where) {
-        decide::digest made;
-        made.region_hash = 77;
-        for (std::uint32_t place = 0; place < count; ++place) {
-            made.engines.push_back(
-                {place * 31, static_cast<std::uint16_t>(place)});
-        }
-        made.queues.push_back({5, 2, 17, 3});
-        made.teams.push_back({9, 12.5F, 0.25F, 4});
-        made.suspects.push_back({666, 2, 31, 60});
-        std::vector<std::uint8_t> bytes = decide::encode(made);
-        decide::digest read;
-        RC_ASSERT(decide::decode(bytes, read));
-        RC_ASSERT(read == made);
-        bytes[where % bytes.size()] ^= 0x10;
-        RC_ASSERT(!decide::decode(bytes, read));
-    }));
+    CHECK(rc::check(
+        "round trip", [](std::uint8_t count, std::size_t position_seed) {
+            decide::digest original;
+            original.region_hash = 77;
+            for (std::uint32_t place = 0; place < count; ++place) {
+                original.engines.push_back(
+                    {place * 31, static_cast<std::uint16_t>(place)});
+            }
+            original.queues.push_back({5, 2, 17, 3});
+            original.teams.push_back({9, 12.5F, 0.25F, 4});
+            original.suspects.push_back({666, 2, 31, 60});
+            std::vector<std::uint8_t> bytes = decide::encode(original);
+            decide::digest decoded;
+            RC_ASSERT(decide::decode(bytes, decoded));
+            RC_ASSERT(decoded == original);
+            bytes[position_seed % bytes.size()] ^= 0x10;
+            RC_ASSERT(!decide::decode(bytes, decoded));
+        }));
 }
--- a/tests/decide/parts_test.cpp
+++ b/tests/decide/parts_test.cpp
@@ -22,31 +22,31 @@
 
 constexpr model::time_point start{std::chrono::hours{1}};
 
-struct queue_of_teams
+struct team_queues
 {
     entry& add(index tier, index team)
     {
         entries.emplace_back();
-        entry& made = entries.back();
-        made.id = {entries.size()};
-        made.tier = tier;
-        made.team = team;
-        made.expected_output = 99;
-        made.deadline = start + milliseconds{entries.size()};
-        queue.push(made, elsewhere);
-        return made;
+        entry& queued = entries.back();
+        queued.id = {entries.size()};
+        queued.tier = tier;
+        queued.team = team;
+        queued.expected_output = 99;
+        queued.deadline = start + milliseconds{entries.size()};
+        queue.push(queued, remote_tokens);
+        return queued;
     }
 
     entry* serve()
     {
-        entry* const next = queue.turns(elsewhere)[0];
-        queue.remove(*next);
-        queue.serve(*next, token_cost(*next), start);
-        return next;
+        entry* const head = queue.dispatch_order(remote_tokens)[0];
+        queue.remove(*head);
+        queue.record_served(*head, token_cost(*head), start);
+        return head;
     }
 
     std::deque<entry> entries;
-    std::vector<double> elsewhere = std::vector<double>(8, 0.0);
+    std::vector<double> remote_tokens = std::vector<double>(8, 0.0);
     fair_queue queue;
 };
 
@@ -56,37 +56,37 @@
 // society would wait behind all of them.
 TEST_CASE("a team's burst does not stand in front of a small team")
 {
-    queue_of_teams own;
+    team_queues queues;
     for (int count = 0; count < 50; ++count) {
-        own.add(0, 1);
+        queues.add(0, 1);
     }
-    own.serve();
-    own.add(0, 2);
-    index const first = own.serve()->team;
-    index const second = own.serve()->team;
+    queues.serve();
+    queues.add(0, 2);
+    index const first = queues.serve()->team;
+    index const second = queues.serve()->team;
     CHECK((first == 2 || second == 2));
 }
 
 TEST_CASE("what a team gets on other hosts counts here")
 {
-    queue_of_teams own;
-    own.add(0, 1);
-    own.add(0, 2);
-    own.elsewhere[1] = 1'000.0;
-    CHECK(own.serve()->team == 2);
+    team_queues queues;
+    queues.add(0, 1);
+    queues.add(0, 2);
+    queues.remote_tokens[1] = 1'000.0;
+    CHECK(queues.serve()->team == 2);
 }
 
 // The highest tier asks for more than there is. Without its guaranteed share
 // the lowest would never be served.
 TEST_CASE("each tier gets its guaranteed share while a higher one waits")
 {
-    queue_of_teams own;
-    own.queue.set_shares({0.5, 0.2});
+    team_queues queues;
+    queues.queue.set_shares({0.5, 0.2});
     int lower = 0;
     for (int count = 0; count < 100; ++count) {
-        own.add(0, 1);
-        own.add(1, 2);
-        lower += own.serve()->tier == 1 ? 1 : 0;
+        queues.add(0, 1);
+        queues.add(1, 2);
+        lower += queues.serve()->tier == 1 ? 1 : 0;
     }
     CHECK(lower >= 18);
     CHECK(lower <= 28);
@@ -95,13 +95,13 @@
 TEST_CASE("retries run out in a storm and come back in calm")
 {
     retry_budget budget;
-    int taken = 0;
-    while (budget.try_take(start) && taken < 1'000) {
-        ++taken;
+    int acquired = 0;
+    while (budget.try_acquire(start) && acquired < 1'000) {
+        ++acquired;
     }
-    CHECK(taken < 300);
-    CHECK_FALSE(budget.try_take(start));
-    CHECK(budget.try_take(start + seconds{20}));
+    CHECK(acquired < 300);
+    CHECK_FALSE(budget.try_acquire(start));
+    CHECK(budget.try_acquire(start + seconds{20}));
 }
 
 TEST_CASE("a team over its limit is told when to come back")
@@ -109,28 +109,29 @@
     rate_limiter limiter;
     lists::usage_limits limits;
     limits.requests_per_second = 2.0;
-    CHECK(limiter.check(limits, start).count() == 0);
+    CHECK(limiter.delay_until_allowed(limits, start).count() == 0);
     for (int count = 0; count < 20; ++count) {
-        limiter.admitted(1.0, start);
+        limiter.record_admission(1.0, start);
     }
-    CHECK(limiter.check(limits, start).count() > 0);
-    CHECK(limiter.check(limits, start + seconds{30}).count() == 0);
+    CHECK(limiter.delay_until_allowed(limits, start).count() > 0);
+    CHECK(limiter.delay_until_allowed(limits, start + seconds{30}).count()
+          == 0);
     limiter.peer_requests = 3.0;
-    CHECK(limiter.check(limits, start + seconds{30}).count() > 0);
+    CHECK(limiter.delay_until_allowed(limits, start + seconds{30}).count() > 0);
 }
 
 TEST_CASE("a gate shuts on lasting lateness only, and opens after relief")
 {
     overload_gate gate;
     gate.observe(true, start);
-    CHECK_FALSE(gate.shut(start + milliseconds{100}));
+    CHECK_FALSE(gate.is_closed(start + milliseconds{100}));
     gate.observe(false, start + milliseconds{200});
-    CHECK_FALSE(gate.shut(start + seconds{1}));
+    CHECK_FALSE(gate.is_closed(start + seconds{1}));
     gate.observe(true, start + seconds{2});
-    CHECK(gate.shut(start + seconds{3}));
+    CHECK(gate.is_closed(start + seconds{3}));
     gate.observe(false, start + seconds{4});
-    CHECK(gate.shut(start + seconds{5}));
-    CHECK_FALSE(gate.shut(start + seconds{9}));
+    CHECK(gate.is_closed(start + seconds{5}));
+    CHECK_FALSE(gate.is_closed(start + seconds{9}));
 }
 
 // Overload pauses for some seconds and returns. A caller refused at its return
@@ -139,12 +140,12 @@
 {
     overload_gate gate;
     gate.observe(true, start);
-    gate.shut(start + seconds{1});
+    gate.is_closed(start + seconds{1});
     gate.observe(false, start + seconds{30});
-    CHECK_FALSE(gate.shut(start + seconds{34}));
+    CHECK_FALSE(gate.is_closed(start + seconds{34}));
     gate.observe(true, start + seconds{35});
-    CHECK(gate.shut(start + seconds{36}));
-    CHECK(gate.shut_for(start + seconds{36}) > seconds{30});
+    CHECK(gate.is_closed(start + seconds{36}));
+    CHECK(gate.closed_for(start + seconds{36}) > seconds{30});
 }
 
 TEST_CASE("a prefix is found on the engine that holds most of it")
@@ -179,11 +180,11 @@
     length_predictor lengths;
     CHECK(lengths.predict(0, 400) == 100);
     for (int count = 0; count < 400; ++count) {
-        lengths.ended(0, 60, 400);
+        lengths.record_completed(0, 60, 400);
     }
     CHECK(lengths.predict(0, 400) < 70);
     for (int count = 0; count < 400; ++count) {
-        lengths.passed(0, lengths.predict(0, 0), 4'000);
+        lengths.record_overrun(0, lengths.predict(0, 0), 4'000);
     }
     CHECK(lengths.predict(0, 0) > 70);
 }
@@ -191,48 +192,48 @@
 TEST_CASE("the link's budget is spent and refilled")
 {
     link_budget link(1'000.0);
-    CHECK(link.allows(2'000.0, start));
-    link.take(2'000.0, start);
-    CHECK_FALSE(link.allows(500.0, start));
-    CHECK(link.allows(500.0, start + seconds{1}));
+    CHECK(link.has_budget(2'000.0, start));
+    link.consume(2'000.0, start);
+    CHECK_FALSE(link.has_budget(500.0, start));
+    CHECK(link.has_budget(500.0, start + seconds{1}));
 }
 
 // One connection after the other tells of the same crash. Counted each time,
 // one crash would put an innocent neighbour into quarantine.
 TEST_CASE("one crash counts once, and a second one is proof")
 {
-    quarantine own;
-    CHECK_FALSE(own.crashed(7, 1, true, start));
-    CHECK_FALSE(own.crashed(7, 1, true, start + milliseconds{5}));
-    CHECK(own.suspected(7));
-    CHECK(own.remaining(7, start).count() == 0);
-    CHECK(own.crashed(7, 2, true, start + milliseconds{50}));
-    CHECK(own.remaining(7, start + milliseconds{50}).count() > 0);
-    own.expire(start + std::chrono::hours{1});
-    CHECK_FALSE(own.suspected(7));
+    quarantine suspects;
+    CHECK_FALSE(suspects.record_crash(7, 1, true, start));
+    CHECK_FALSE(suspects.record_crash(7, 1, true, start + milliseconds{5}));
+    CHECK(suspects.is_suspect(7));
+    CHECK(suspects.remaining(7, start).count() == 0);
+    CHECK(suspects.record_crash(7, 2, true, start + milliseconds{50}));
+    CHECK(suspects.remaining(7, start + milliseconds{50}).count() > 0);
+    suspects.expire(start + std::chrono::hours{1});
+    CHECK_FALSE(suspects.is_suspect(7));
 }
 
 TEST_CASE("a request that had been streaming is not suspect after one crash")
 {
-    quarantine own;
-    own.crashed(7, 1, false, start);
-    CHECK_FALSE(own.suspected(7));
-    own.crashed(7, 2, false, start + seconds{10});
-    CHECK(own.suspected(7));
+    quarantine suspects;
+    suspects.record_crash(7, 1, false, start);
+    CHECK_FALSE(suspects.is_suspect(7));
+    suspects.record_crash(7, 2, false, start + seconds{10});
+    CHECK(suspects.is_suspect(7));
 }
 
 TEST_CASE("hosts of a region cut its engines into equal parts")
 {
-    double all = 0.0;
+    double total = 0.0;
     for (std::uint32_t engine = 0; engine < 9; ++engine) {
-        double engine_parts = 0.0;
+        double engine_total = 0.0;
         for (std::uint32_t rank = 0; rank < 5; ++rank) {
-            engine_parts += host_position{7, 5, rank}.share_of(engine, 9);
+            engine_total += host_position{7, 5, rank}.share_of(engine, 9);
         }
-        CHECK(engine_parts == doctest::Approx(1.0));
-        all += host_position{7, 5, 2}.share_of(engine, 9);
+        CHECK(engine_total == doctest::Approx(1.0));
+        total += host_position{7, 5, 2}.share_of(engine, 9);
     }
-    CHECK(all == doctest::Approx(9.0 / 5.0));
+    CHECK(total == doctest::Approx(9.0 / 5.0));
 }
 
 TEST_CASE("a service call goes to the emptiest instance of its region")
@@ -246,7 +247,7 @@
     index const ledger = services.find("ledger");
     index const first = services.choose(ledger, no_index);
     CHECK(services.name(first) == "west-1");
-    services.started(first);
+    services.record_start(first);
     CHECK(services.name(services.choose(ledger, no_index)) == "west-2");
     listed.services[1].leaving = true;
     listed.services[2].leaving = true;
--- a/tests/decide/support.hpp
+++ b/tests/decide/support.hpp
@@ -19,9 +19,9 @@
     lists::plan_list plans;
     plans.tiers = {{"counter", 0, 0.4}, {"desk", 1, 0.2}, {"office", 2, 0.2}};
     plans.classes.resize(3);
-    for (std::size_t place = 0; place < 3; ++place) {
-        plans.classes[place].name = plans.tiers[place].name;
-        plans.classes[place].tier = plans.tiers[place].name;
+    for (std::size_t tier = 0; tier < 3; ++tier) {
+        plans.classes[tier].name = plans.tiers[tier].name;
+        plans.classes[tier].tier = plans.tiers[tier].name;
     }
     plans.classes[0].max_wait = milliseconds{5'000};
     plans.classes[1].first_token = milliseconds{2'000};
@@ -46,7 +46,7 @@
 
     void add_engines(std::size_t count, std::uint32_t slots)
     {
-        for (std::size_t made = 0; made < count; ++made) {
+        for (std::size_t added = 0; added < count; ++added) {
             model::engine engine;
             engine.name =
                 "engine-" + std::to_string(upstreams.engines.size() + 1);
@@ -112,8 +112,8 @@
     std::vector<Decision> all() const
     {
         std::vector<Decision> found;
-        for (decide::decision const& made : out) {
-            if (auto const* one = std::get_if<Decision>(&made)) {
+        for (decide::decision const& decision_made : out) {
+            if (auto const* one = std::get_if<Decision>(&decision_made)) {
                 found.push_back(*one);
             }
         }
