--- a/src/program/beliefs.cpp
+++ b/src/program/beliefs.cpp
@@ -150,7 +150,7 @@
     return list;
 }
 
-bool beliefs::merge(proxy::told_configuration const& told)
+bool beliefs::merge(proxy::packed_configuration const& told)
 {
     if (told.revision > m_configurations.revision()) {
         auto const item = m_configurations.unpack(told);
@@ -164,9 +164,9 @@
     return true;
 }
 
-proxy::told_configuration beliefs::configuration(std::uint64_t base)
+proxy::packed_configuration beliefs::configuration(std::uint64_t base)
 {
-    proxy::told_configuration told = m_configurations.packed(base);
+    proxy::packed_configuration told = m_configurations.packed(base);
     told.checked = m_context.known.checked;
     return told;
 }
--- a/src/program/beliefs.hpp
+++ b/src/program/beliefs.hpp
@@ -47,7 +47,7 @@
 
     /// Another host gave its configuration. An older one changes nothing.
     /// False if it can't be read; it is to be asked for whole then.
-    bool merge(proxy::told_configuration const& told);
+    bool merge(proxy::packed_configuration const& told);
 
     /// Upstreams that have changed after revision `since`; all, if that is 0 or
     /// too long ago.
@@ -55,7 +55,7 @@
 
     /// The newest configuration, for a host that has that of revision `base`;
     /// revision 0 if there is none.
-    proxy::told_configuration configuration(std::uint64_t base);
+    proxy::packed_configuration configuration(std::uint64_t base);
 
     /// Both in one list, for hosts of versions that know no other.
     proxy::item_list all_changes(std::uint64_t since) const;
--- a/src/program/configuration_texts.cpp
+++ b/src/program/configuration_texts.cpp
@@ -36,9 +36,9 @@
     return found == m_older.end() ? s_none : found->second;
 }
 
-proxy::told_configuration configuration_texts::packed(std::uint64_t base)
+proxy::packed_configuration configuration_texts::packed(std::uint64_t base)
 {
-    proxy::told_configuration told;
+    proxy::packed_configuration told;
     if (m_newest.revision == 0) {
         return told;
     }
@@ -55,7 +55,7 @@
 }
 
 std::optional<proxy::store_item>
-configuration_texts::unpack(proxy::told_configuration const& told) const
+configuration_texts::unpack(proxy::packed_configuration const& told) const
 {
     std::string const& base = text_of(told.base);
     if (told.base != 0 && base.empty()) {
--- a/src/program/configuration_texts.hpp
+++ b/src/program/configuration_texts.hpp
@@ -34,11 +34,11 @@
 
     /// The newest against that of revision `base`, or whole if that isn't
     /// known here. `checked` is left to the caller.
-    proxy::told_configuration packed(std::uint64_t base);
+    proxy::packed_configuration packed(std::uint64_t base);
 
     /// Nothing if it can't be read, or its base isn't known here.
     std::optional<proxy::store_item>
-    unpack(proxy::told_configuration const& told) const;
+    unpack(proxy::packed_configuration const& told) const;
 
 private:
     /// Empty if it isn't known.
--- a/src/program/peer_fetcher.hpp
+++ b/src/program/peer_fetcher.hpp
@@ -58,7 +58,7 @@
 
     bool is_asking() const
     {
-        return m_get.is_asking();
+        return m_get.is_active();
     }
 
 private:
--- a/src/program/routed_host.cpp
+++ b/src/program/routed_host.cpp
@@ -60,7 +60,7 @@
     , m_lists(m_context,
               m_beliefs,
               {[this](routing::store_revisions const& before) {
-                   tell_of_change(before);
+                   broadcast_change(before);
                    if (m_context.table) {
                        note_read();
                    }
@@ -99,7 +99,7 @@
         call.on_item = [this](proxy::store_item const& item) {
             m_beliefs.apply(item);
         };
-        call.on_all = [this](std::vector<std::string> const& keys) {
+        call.on_complete = [this](std::vector<std::string> const& keys) {
             m_beliefs.keep_only(keys);
             note_read();
         };
@@ -108,9 +108,9 @@
             routing::store_revisions const before = m_context.known;
             m_beliefs.commit(revision);
             m_context.keys.confirm(as_of);
-            tell_of_change(before);
+            broadcast_change(before);
         };
-        call.on_lost = [this](proxy::store_loss const& loss) {
+        call.on_lost = [this](proxy::store_failure const& loss) {
             log_store_lost(loss);
         };
         call.on_regained = [this] {
@@ -134,7 +134,7 @@
             log_connection(ended);
             m_metrics.count(ended);
         };
-    m_context.on_late = [this](model::milliseconds late) {
+    m_context.on_loop_late = [this](model::milliseconds late) {
         runtime::log_line("loop_late").field("late_ms", late.count());
         m_metrics.count_late(late);
     };
@@ -250,7 +250,7 @@
         model::seconds(m_context.keys.age(boot_now())).count(),
         static_cast<double>(m_context.directory.size()));
     m_metrics.set_work(static_cast<double>(m_relay.callers()),
-                       static_cast<double>(m_context.pool.opened()),
+                       static_cast<double>(m_context.pool.connections_opened()),
                        static_cast<double>(m_log.dropped()));
     return m_metrics.text();
 }
--- a/src/program/routed_host.hpp
+++ b/src/program/routed_host.hpp
@@ -7,7 +7,7 @@
 #include "program/peer_lists.hpp"
 #include "program/routed_metrics.hpp"
 #include "program/routed_settings.hpp"
-#include "proxy/peer_link.hpp"
+#include "proxy/peer_gossip.hpp"
 #include "proxy/relay.hpp"
 #include "proxy/relay_context.hpp"
 #include "proxy/store_reader.hpp"
@@ -36,7 +36,7 @@
 
 private:
     void serve_peers();
-    void tell_of_change(routing::store_revisions const& before);
+    void broadcast_change(routing::store_revisions const& before);
     void share_reading();
     model::milliseconds watch_wait();
     void note_read();
@@ -46,7 +46,7 @@
     void log_connection(proxy::connection_report const& ended);
     void log_limit(routing::upstream_state const& state);
     void log_fetch(fetch_report const& ended);
-    void log_store_lost(proxy::store_loss const& loss);
+    void log_store_lost(proxy::store_failure const& loss);
     void plan_stop();
     void reload();
     bool is_ready() const;
@@ -66,7 +66,7 @@
     net::admin_server m_admin;
     std::unique_ptr<net::admin_server> m_metrics_server;
     std::vector<std::unique_ptr<proxy::store_reader>> m_readers;
-    std::unique_ptr<proxy::peer_link> m_peers;
+    std::unique_ptr<proxy::peer_gossip> m_peers;
     std::unique_ptr<net::admin_server> m_peer_server;
     file_watch m_settings_file;
     std::minstd_rand m_random{std::random_device{}()};
--- a/src/program/routed_host_log.cpp
+++ b/src/program/routed_host_log.cpp
@@ -11,7 +11,7 @@
         .field("id", tried.id)
         .field("route", tried.route)
         .field("service", tried.service)
-        .field("last_try", tried.last_try)
+        .field("last_try", tried.last_attempt)
         .field("upstream", tried.upstream)
         .field("sent", tried.sent)
         .field("unreached", tried.unreached)
@@ -29,7 +29,7 @@
         .field("status", ended.status)
         .field("outcome", ended.outcome)
         .field("reason", ended.reason)
-        .field("last_try", ended.last_try)
+        .field("last_try", ended.last_attempt)
         .field("upstream", ended.upstream)
         .field("sent", ended.sent)
         .field("unreached", ended.unreached)
@@ -48,7 +48,7 @@
         .field("unsent_bytes", ended.unsent_bytes)
         .field("since_stop_ms", ended.since_stop.count())
         .field("events", ended.events)
-        .field("longest_pause_ms", ended.longest_pause.count())
+        .field("longest_pause_ms", ended.longest_gap.count())
         .field("on_time", ended.on_time)
         .field("config_version", ended.config_version)
         .field("config_age_ms", ended.config_age.count());
@@ -61,11 +61,11 @@
     }
     runtime::log_line("connection_lost")
         .field("id", ended.id)
-        .field("by", proxy::to_string(ended.by))
-        .field("during", ended.during)
+        .field("by", proxy::to_string(ended.end))
+        .field("during", ended.activity)
         .field("unsent_bytes", ended.unsent_bytes)
         .field("late_bytes", ended.late_bytes)
-        .field("since_ms", ended.since.count())
+        .field("since_ms", ended.elapsed.count())
         .field("since_stop_ms", m_context.since_stop().count());
 }
 
@@ -79,7 +79,7 @@
         .field("status", ended.status)
         .field("bytes", ended.progress.bytes)
         .field("total_ms", ended.progress.total.count())
-        .field("quiet_ms", ended.progress.quiet.count())
+        .field("quiet_ms", ended.progress.idle.count())
         .field("upstreams_revision", m_context.known.upstreams)
         .field("config_revision", m_context.known.configuration);
 }
@@ -107,14 +107,14 @@
         .field("is_among_them", place.is_among_them);
 }
 
-void routed_host::log_store_lost(proxy::store_loss const& loss)
+void routed_host::log_store_lost(proxy::store_failure const& loss)
 {
     runtime::log_line("store_lost")
-        .field("why", loss.why)
+        .field("why", loss.reason)
         .field("call", loss.call)
         .field("bytes", loss.progress.bytes)
         .field("total_ms", loss.progress.total.count())
-        .field("quiet_ms", loss.progress.quiet.count())
+        .field("quiet_ms", loss.progress.idle.count())
         .field("config_age_ms",
                m_context.keys.age(m_context.boot_now()).count());
 }
--- a/src/program/routed_host_peers.cpp
+++ b/src/program/routed_host_peers.cpp
@@ -19,8 +19,8 @@
 
 void routed_host::serve_peers()
 {
-    m_peers = std::make_unique<proxy::peer_link>(m_context,
-                                                 m_settings.relay.peer_listen);
+    m_peers = std::make_unique<proxy::peer_gossip>(
+        m_context, m_settings.relay.peer_listen);
     m_peers->on_peers_changed([this](std::size_t alive) {
         runtime::log_line("peers_changed")
             .field("alive", alive)
@@ -29,7 +29,7 @@
     m_peer_server = std::make_unique<net::admin_server>(
         m_loop, m_settings.relay.peer_listen);
     m_lists.serve_on(*m_peer_server);
-    m_peers->on_newer([this] {
+    m_peers->on_newer_revision([this] {
         m_lists.ask();
     });
     m_loop.every(ask_period, [this] {
@@ -38,12 +38,12 @@
 }
 
 // Those that wait for this host to bring changes into the data centre.
-void routed_host::tell_of_change(routing::store_revisions const& before)
+void routed_host::broadcast_change(routing::store_revisions const& before)
 {
     bool const is_waited_for =
         m_context.peers.is_reader() || m_context.peers.speaks();
     if (m_peers && is_waited_for && !m_context.known.has_changes_of(before)) {
-        m_peers->tell_of_change();
+        m_peers->broadcast_change();
     }
 }
 
@@ -66,11 +66,11 @@
     bool const hears_too_little =
         age > limit || m_lists.upstreams_lag() > limit;
     for (auto const& reader : m_readers) {
-        reader->wait(watch_wait());
+        reader->set_watch_wait(watch_wait());
         reader->skip_to(m_context.known.all());
-        reader->keep_watching(is_reader);
+        reader->set_watching(is_reader);
         if (hears_too_little) {
-            reader->look_once();
+            reader->poll_once();
         }
     }
     m_lists.ask();
--- a/src/program/routed_metrics.cpp
+++ b/src/program/routed_metrics.cpp
@@ -94,14 +94,14 @@
         m_first_byte.Add({{"service", service}}, seconds_buckets())
             .Observe(model::seconds(ended.first_byte).count());
     }
-    if (ended.wait.count() >= 0 && ended.forecast.count() > 0) {
+    if (ended.upstream_wait.count() >= 0 && ended.forecast.count() > 0) {
         m_forecast_ratio.Add({{"service", service}}, ratio_buckets())
-            .Observe(model::seconds(ended.wait)
+            .Observe(model::seconds(ended.upstream_wait)
                      / model::seconds(ended.forecast));
     }
     if (ended.events > 1) {
         m_pause.Add({{"service", service}}, seconds_buckets())
-            .Observe(model::seconds(ended.longest_pause).count());
+            .Observe(model::seconds(ended.longest_gap).count());
     }
     m_total
         .Add({{"service", service}, {"outcome", std::string(ended.outcome)}},
@@ -112,8 +112,8 @@
 void routed_metrics::count(proxy::connection_report const& ended)
 {
     m_connections
-        .Add({{"by", std::string(proxy::to_string(ended.by))},
-              {"during", std::string(ended.during)}})
+        .Add({{"by", std::string(proxy::to_string(ended.end))},
+              {"during", std::string(ended.activity)}})
         .Increment();
     m_lost_bytes.Add({{"bytes", "unsent"}})
         .Increment(static_cast<double>(ended.unsent_bytes));
--- a/src/proxy/answer_port.hpp
+++ b/src/proxy/answer_sink.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_PROXY_ANSWER_PORT_HPP
-#define CAPERJUNCTION_PROXY_ANSWER_PORT_HPP
+#ifndef CAPERJUNCTION_PROXY_ANSWER_SINK_HPP
+#define CAPERJUNCTION_PROXY_ANSWER_SINK_HPP
 
 #include <cstddef>
 #include <functional>
@@ -8,7 +8,7 @@
 namespace caperjunction::proxy {
 
 /// The way back to a caller, for one request.
-struct answer_port
+struct answer_sink
 {
     std::function<void(std::string_view)> write;
     /// The answer is whole, or (false) will never be: the connection is cut,
@@ -19,9 +19,9 @@
     std::function<bool()> keeps_alive;
     /// Whether the caller is still there, by what has come from it by now; if
     /// not, its request has been cancelled when this returns.
-    std::function<bool()> is_there;
+    std::function<bool()> is_connected;
     /// Bytes that the caller has not taken yet.
-    std::function<std::size_t()> unsent;
+    std::function<std::size_t()> unsent_bytes;
 };
 
 } // namespace caperjunction::proxy
--- a/src/proxy/caller.cpp
+++ b/src/proxy/caller.cpp
@@ -41,7 +41,7 @@
 
 void caller::release_body()
 {
-    m_context.held_bytes -= std::exchange(m_held, 0);
+    m_context.buffered_bytes -= std::exchange(m_held, 0);
 }
 
 void caller::serve(int socket)
@@ -50,18 +50,18 @@
     m_longest_rest = limits().idle_timeout;
     // The hooks keep this caller alive until its connection is over.
     auto const self = shared_from_this();
-    m_stream = stream::adopt(m_context.loop,
-                             socket,
-                             {nullptr,
-                              [self](std::string_view bytes) {
-                                  self->take(bytes);
-                              },
-                              [self](stream_end how) {
-                                  self->connection_ended(how);
-                              },
-                              [self] {
-                                  self->drained();
-                              }});
+    m_stream = tcp_stream::adopt(m_context.loop,
+                                 socket,
+                                 {nullptr,
+                                  [self](std::string_view bytes) {
+                                      self->take(bytes);
+                                  },
+                                  [self](connection_end how) {
+                                      self->connection_ended(how);
+                                  },
+                                  [self] {
+                                      self->drained();
+                                  }});
 }
 
 void caller::drained()
@@ -71,7 +71,7 @@
         return;
     }
     // The caller rests from here on, not from its answer's end at this host.
-    if (m_reader.is_between()) {
+    if (m_reader.is_between_messages()) {
         m_since = m_context.loop.now();
     }
 }
@@ -85,7 +85,7 @@
     if (m_exchange || !m_pending.empty()) {
         m_pending.append(bytes);
         if (m_pending.size() > most_pending) {
-            m_stream->read(false);
+            m_stream->enable_reading(false);
         }
         return;
     }
@@ -94,8 +94,8 @@
 
 void caller::feed(std::string_view bytes)
 {
-    m_reader.longest_head_bytes(limits().header_bytes);
-    if (m_reader.is_between()) {
+    m_reader.set_max_head_bytes(limits().header_bytes);
+    if (m_reader.is_between_messages()) {
         m_since = m_context.loop.now();
     }
     while (!bytes.empty() && !m_exchange && !m_closing) {
@@ -125,7 +125,7 @@
         return;
     }
     std::string const* const expected = m_head.find("Expect");
-    if (expected != nullptr && is_same_name(*expected, "100-continue")) {
+    if (expected != nullptr && header_names_equal(*expected, "100-continue")) {
         m_stream->write(go_on);
     }
 }
@@ -137,8 +137,8 @@
     }
     m_body.append(bytes);
     m_held += bytes.size();
-    m_context.held_bytes += bytes.size();
-    if (m_context.held_bytes > m_context.settings.held_bytes) {
+    m_context.buffered_bytes += bytes.size();
+    if (m_context.buffered_bytes > m_context.settings.max_buffered_bytes) {
         reject(routing::refusal_reason::host_full);
         return;
     }
@@ -159,10 +159,10 @@
     return m_announced;
 }
 
-bool caller::is_there()
+bool caller::is_connected()
 {
     auto const keep = shared_from_this();
-    m_stream->read_now();
+    m_stream->read_available();
     return !m_closing;
 }
 
@@ -174,7 +174,7 @@
         return;
     }
     std::weak_ptr<caller> const weak = weak_from_this();
-    answer_port port;
+    answer_sink port;
     port.write = [weak](std::string_view bytes) {
         if (auto const own = weak.lock()) {
             own->m_stream->write(bytes);
@@ -189,13 +189,13 @@
         auto const own = weak.lock();
         return own && own->announce_keep_alive();
     };
-    port.is_there = [weak] {
+    port.is_connected = [weak] {
         auto const own = weak.lock();
-        return own && own->is_there();
+        return own && own->is_connected();
     };
-    port.unsent = [weak] {
+    port.unsent_bytes = [weak] {
         auto const own = weak.lock();
-        return own ? own->m_stream->unsent() : 0;
+        return own ? own->m_stream->unsent_bytes() : 0;
     };
     m_exchange = std::make_shared<exchange>(m_context,
                                             m_head,
--- a/src/proxy/caller.hpp
+++ b/src/proxy/caller.hpp
@@ -5,7 +5,7 @@
 #include "proxy/exchange.hpp"
 #include "proxy/http_reader.hpp"
 #include "proxy/relay_context.hpp"
-#include "proxy/stream.hpp"
+#include "proxy/tcp_stream.hpp"
 #include "routing/refusal.hpp"
 
 #include <functional>
@@ -32,7 +32,7 @@
     void serve(int socket);
 
     /// Ends what has been slow or idle for too long.
-    void check_times();
+    void check_timeouts();
 
     /// Closes the connection if no request is on its way, none has come by
     /// now, and the last answer is at least `rest` old.
@@ -43,14 +43,14 @@
     void stop();
 
     /// Ends the connection and the work for its request, without a word.
-    void drop();
+    void abort();
 
     /// A request is being read or served, or waits for its turn, or its
     /// answer is still being sent.
     bool is_busy() const
     {
-        return m_exchange != nullptr || !m_reader.is_between()
-               || !m_pending.empty() || m_stream->unsent() > 0;
+        return m_exchange != nullptr || !m_reader.is_between_messages()
+               || !m_pending.empty() || m_stream->unsent_bytes() > 0;
     }
 
 private:
@@ -68,20 +68,20 @@
     void end_exchange(bool whole);
     void reject(routing::refusal_reason reason);
     void release_body();
-    void connection_ended(stream_end how);
+    void connection_ended(connection_end how);
     void finish();
-    void report_end(finish_report const& left);
+    void report_end(close_report const& left);
     std::string_view activity() const;
     std::string_view request_id() const;
     bool keeps_alive() const;
     bool announce_keep_alive();
-    bool is_there();
+    bool is_connected();
     routing::caller_limits const& limits() const;
     model::milliseconds rested() const;
 
     relay_context& m_context;
     std::function<void(caller const*)> m_on_closed;
-    std::shared_ptr<stream> m_stream;
+    std::shared_ptr<tcp_stream> m_stream;
     http_reader m_reader;
     message_head m_head;
     std::string m_body;
--- a/src/proxy/caller_end.cpp
+++ b/src/proxy/caller_end.cpp
@@ -12,7 +12,7 @@
 {
     auto const keep = shared_from_this();
     if (!whole) {
-        report_end({stream_end::own_close, m_stream->unsent(), 0});
+        report_end({connection_end::own_close, m_stream->unsent_bytes(), 0});
     }
     m_exchange.reset();
     release_body();
@@ -32,7 +32,7 @@
         return;
     }
     if (m_pending.empty()) {
-        m_stream->read(true);
+        m_stream->enable_reading(true);
         return;
     }
     // Not from here: the answer's last hook is still running.
@@ -51,7 +51,7 @@
     }
     feed(std::exchange(m_pending, {}));
     if (!m_closing && m_pending.size() <= most_pending) {
-        m_stream->read(true);
+        m_stream->enable_reading(true);
     }
 }
 
@@ -78,10 +78,10 @@
     finish();
 }
 
-void caller::connection_ended(stream_end how)
+void caller::connection_ended(connection_end how)
 {
     auto const keep = shared_from_this();
-    report_end({how, m_stream->unsent(), 0});
+    report_end({how, m_stream->unsent_bytes(), 0});
     if (auto const begun = std::exchange(m_exchange, nullptr)) {
         begun->cancel(to_string(how));
     }
@@ -101,13 +101,13 @@
     close_if_idle(model::milliseconds{0});
 }
 
-void caller::drop()
+void caller::abort()
 {
     auto const keep = shared_from_this();
-    report_end({stream_end::own_close, m_stream->unsent(), 0});
+    report_end({connection_end::own_close, m_stream->unsent_bytes(), 0});
     m_closing = true;
     if (auto const begun = std::exchange(m_exchange, nullptr)) {
-        begun->cancel(to_string(stream_end::own_close));
+        begun->cancel(to_string(connection_end::own_close));
     }
     m_stream->close();
 }
@@ -118,7 +118,7 @@
 {
     m_closing = true;
     auto const self = shared_from_this();
-    m_stream->finish([self](finish_report const& left) {
+    m_stream->close_gracefully([self](close_report const& left) {
         self->report_end(left);
         self->m_on_closed(self.get());
     });
@@ -132,7 +132,7 @@
     if (m_exchange) {
         return "serving";
     }
-    return m_reader.is_between() ? "idle" : "reading";
+    return m_reader.is_between_messages() ? "idle" : "reading";
 }
 
 std::string_view caller::request_id() const
@@ -141,18 +141,18 @@
     return id == nullptr ? std::string_view() : std::string_view(*id);
 }
 
-void caller::report_end(finish_report const& left)
+void caller::report_end(close_report const& left)
 {
     if (!m_context.on_connection_ended) {
         return;
     }
     connection_report report;
-    report.by = left.by;
-    report.during = activity();
+    report.end = left.end;
+    report.activity = activity();
     report.id = request_id();
     report.unsent_bytes = left.unsent_bytes;
     report.late_bytes = left.late_bytes + m_pending.size();
-    report.since = rested();
+    report.elapsed = rested();
     m_context.on_connection_ended(report);
 }
 
@@ -162,14 +162,14 @@
                                                            - m_since);
 }
 
-void caller::check_times()
+void caller::check_timeouts()
 {
     if (m_exchange || m_closing) {
         return;
     }
-    if (m_reader.is_between()) {
+    if (m_reader.is_between_messages()) {
         auto const most = std::max(m_longest_rest, limits().idle_timeout);
-        if (m_stream->unsent() > 0 && rested() > most) {
+        if (m_stream->unsent_bytes() > 0 && rested() > most) {
             finish();
             return;
         }
@@ -188,8 +188,8 @@
     }
     auto const keep = shared_from_this();
     // The rest may be here, and this host late.
-    m_stream->read_now();
-    if (!m_exchange && !m_closing && !m_reader.is_between()) {
+    m_stream->read_available();
+    if (!m_exchange && !m_closing && !m_reader.is_between_messages()) {
         reject(routing::refusal_reason::caller_too_slow);
     }
 }
@@ -203,11 +203,11 @@
     }
     auto const keep = shared_from_this();
     // A request that is here already is served.
-    m_stream->read_now();
+    m_stream->read_available();
     if (is_busy() || m_closing) {
         return;
     }
-    report_end({stream_end::own_close, m_stream->unsent(), 0});
+    report_end({connection_end::own_close, m_stream->unsent_bytes(), 0});
     m_closing = true;
     m_stream->close();
     m_on_closed(this);
--- a/src/proxy/stream_end.hpp
+++ b/src/proxy/connection_end.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_PROXY_STREAM_END_HPP
-#define CAPERJUNCTION_PROXY_STREAM_END_HPP
+#ifndef CAPERJUNCTION_PROXY_CONNECTION_END_HPP
+#define CAPERJUNCTION_PROXY_CONNECTION_END_HPP
 
 #include <array>
 #include <cstddef>
@@ -9,7 +9,7 @@
 namespace caperjunction::proxy {
 
 /// How a connection ended.
-enum class stream_end : std::uint8_t
+enum class connection_end : std::uint8_t
 {
     /// The other side has sent all that it will send.
     closed,
@@ -26,7 +26,7 @@
 };
 
 /// Stable name, for logs and metrics.
-inline std::string_view to_string(stream_end how)
+inline std::string_view to_string(connection_end how)
 {
     constexpr std::array<std::string_view, 6> names{"closed",
                                                     "reset",
--- a/src/proxy/event_cutter.cpp
+++ b/src/proxy/event_framer.cpp
@@ -1,4 +1,4 @@
-#include "proxy/event_cutter.hpp"
+#include "proxy/event_framer.hpp"
 
 #include <utility>
 
@@ -22,7 +22,7 @@
 
 } // namespace
 
-std::string_view event_cutter::feed(std::string_view bytes)
+std::string_view event_framer::feed(std::string_view bytes)
 {
     if (m_rest.empty() && end_of_last_event(bytes) == bytes.size()) {
         note(bytes);
@@ -36,7 +36,7 @@
     return m_whole;
 }
 
-void event_cutter::note(std::string_view whole)
+void event_framer::note(std::string_view whole)
 {
     while (!whole.empty()) {
         std::size_t const end = whole.find('\n');
--- a/src/proxy/event_cutter.hpp
+++ b/src/proxy/event_framer.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_PROXY_EVENT_CUTTER_HPP
-#define CAPERJUNCTION_PROXY_EVENT_CUTTER_HPP
+#ifndef CAPERJUNCTION_PROXY_EVENT_FRAMER_HPP
+#define CAPERJUNCTION_PROXY_EVENT_FRAMER_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -14,7 +14,7 @@
 /// passed on, a stream that goes on elsewhere would join two halves.
 ///
 /// Thread safety: none; one for each try.
-class event_cutter
+class event_framer
 {
 public:
     /// Takes bytes; gives those that end the events that are now whole.
--- a/src/proxy/pause_meter.hpp
+++ b/src/proxy/event_gap_meter.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_PROXY_PAUSE_METER_HPP
-#define CAPERJUNCTION_PROXY_PAUSE_METER_HPP
+#ifndef CAPERJUNCTION_PROXY_EVENT_GAP_METER_HPP
+#define CAPERJUNCTION_PROXY_EVENT_GAP_METER_HPP
 
 #include "model/time.hpp"
 
@@ -17,7 +17,7 @@
 /// caller sees.
 ///
 /// Thread safety: none; owned by one task.
-class pause_meter
+class event_gap_meter
 {
 public:
     /// Events have come at `now`; gives the pause before them.
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -22,7 +22,7 @@
 exchange::exchange(relay_context& context,
                    message_head head,
                    std::string body,
-                   answer_port port,
+                   answer_sink port,
                    model::time_point arrived_boot)
     : m_context(context)
     , m_head(std::move(head))
@@ -57,7 +57,7 @@
         refuse(*admitted.refused);
         return;
     }
-    if (!m_context.takes_new(std::min(
+    if (!m_context.accepts_new_request(std::min(
             m_facts.deadline.value_or(m_route->timeout), m_route->timeout))) {
         refuse(step::stopping);
         return;
@@ -107,7 +107,7 @@
 void exchange::stop()
 {
     if (!m_ended) {
-        m_report.ended_by = to_string(stream_end::own_close);
+        m_report.ended_by = to_string(connection_end::own_close);
         give_up(step::stopping);
     }
 }
@@ -126,7 +126,7 @@
 void exchange::drained()
 {
     if (m_connection) {
-        m_connection->read(true);
+        m_connection->enable_reading(true);
     }
 }
 
@@ -166,9 +166,9 @@
     m_report.candidates = m_pick.candidates;
     m_report.total = since(m_arrived, m_context.loop.now());
     m_report.since_stop = m_since_stop;
-    m_report.unsent_bytes = m_port.unsent();
+    m_report.unsent_bytes = m_port.unsent_bytes();
     m_report.events = m_events;
-    m_report.longest_pause = m_pauses.longest();
+    m_report.longest_gap = m_pauses.longest();
     m_report.config_version = m_table ? m_table->lists().version : 0;
     m_report.config_age = m_context.keys.age(m_context.boot_now());
     if (!m_service.empty()) {
--- a/src/proxy/exchange.hpp
+++ b/src/proxy/exchange.hpp
@@ -1,11 +1,11 @@
 #ifndef CAPERJUNCTION_PROXY_EXCHANGE_HPP
 #define CAPERJUNCTION_PROXY_EXCHANGE_HPP
 
-#include "proxy/answer_port.hpp"
-#include "proxy/event_cutter.hpp"
+#include "proxy/answer_sink.hpp"
+#include "proxy/event_framer.hpp"
+#include "proxy/event_gap_meter.hpp"
 #include "proxy/exchange_report.hpp"
 #include "proxy/message_head.hpp"
-#include "proxy/pause_meter.hpp"
 #include "proxy/relay_context.hpp"
 #include "proxy/request_facts.hpp"
 #include "proxy/upstream_connection.hpp"
@@ -31,7 +31,7 @@
     exchange(relay_context& context,
              message_head head,
              std::string body,
-             answer_port port,
+             answer_sink port,
              model::time_point arrived_boot);
     ~exchange();
     exchange(exchange const&) = delete;
@@ -107,7 +107,7 @@
     relay_context& m_context;
     message_head m_head;
     std::string m_body;
-    answer_port m_port;
+    answer_sink m_port;
     request_facts m_facts;
     std::shared_ptr<routing::route_table const> m_table;
     routing::route const* m_route = nullptr;
@@ -134,7 +134,7 @@
     bool m_counted = false;
     message_head m_answer;
     std::string m_answer_body;
-    event_cutter m_cutter;
+    event_framer m_cutter;
     bool m_is_stream = false;
 
     // All tries.
@@ -146,7 +146,7 @@
     bool m_keep_alive = true;
     std::string m_last_event_id;
     std::uint64_t m_events = 0;
-    pause_meter m_pauses;
+    event_gap_meter m_pauses;
     bool m_ended = false;
     exchange_report m_report;
 };
--- a/src/proxy/exchange_answer.cpp
+++ b/src/proxy/exchange_answer.cpp
@@ -57,7 +57,7 @@
         m_connection->skip_answer();
         return;
     }
-    note_limit(m_context, *m_upstream, head);
+    record_limit(m_context, *m_upstream, head);
     if (says_not_run) {
         m_upstream->health.record_failure(m_context.loop.now());
         try_ended(try_end::not_run);
@@ -96,7 +96,7 @@
     auto const now = m_context.loop.now();
     auto const took =
         std::chrono::duration_cast<model::milliseconds>(now - m_sent_at);
-    m_report.wait = took;
+    m_report.upstream_wait = took;
     m_upstream->own_pace.end(m_waiting, now);
     if (m_report.first_byte.count() < 0) {
         m_report.first_byte =
@@ -133,8 +133,8 @@
     } else {
         m_port.write(bytes);
     }
-    if (m_connection && m_port.unsent() > most_unsent) {
-        m_connection->read(false);
+    if (m_connection && m_port.unsent_bytes() > most_unsent) {
+        m_connection->enable_reading(false);
     }
 }
 
@@ -203,7 +203,7 @@
         }
     }
     if (auto const connection = std::exchange(m_connection, nullptr)) {
-        m_context.pool.give_back(m_upstream, connection);
+        m_context.pool.release(m_upstream, connection);
     }
     drop_connection();
     if (m_is_stream) {
--- a/src/proxy/exchange_place.cpp
+++ b/src/proxy/exchange_place.cpp
@@ -16,7 +16,7 @@
     request.tried = &m_tried;
 
     request.is_most_urgent = m_is_most_urgent;
-    request.urgent_streams = m_context.all_urgent_streams(m_service);
+    request.urgent_streams = m_context.fleet_urgent_streams(m_service);
     return request;
 }
 
--- a/src/proxy/exchange_report.hpp
+++ b/src/proxy/exchange_report.hpp
@@ -35,7 +35,7 @@
     /// From the signal to stop to the request; negative: there was none.
     model::milliseconds since_stop{-1};
     /// How the last try that gave no answer ended; empty if none did.
-    std::string_view last_try;
+    std::string_view last_attempt;
     /// Second sends that this host may still make to the service.
     double budget_left = 0.0;
     /// Upstreams that were handed it.
@@ -54,11 +54,11 @@
     /// From arrival; negative: it didn't come to that.
     model::milliseconds first_byte{-1};
     /// From the last send; negative: none came.
-    model::milliseconds wait{-1};
+    model::milliseconds upstream_wait{-1};
     model::milliseconds total{0};
     std::uint64_t events = 0;
     /// Between two events, over all tries.
-    model::milliseconds longest_pause{0};
+    model::milliseconds longest_gap{0};
     std::uint64_t config_version = 0;
     /// How long ago the store confirmed it.
     model::milliseconds config_age{0};
--- a/src/proxy/exchange_send.cpp
+++ b/src/proxy/exchange_send.cpp
@@ -42,7 +42,7 @@
 {
     m_upstream = chosen.to;
     m_tried.push_back(m_upstream->about.id);
-    m_connection = m_context.pool.take(m_upstream);
+    m_connection = m_context.pool.acquire(m_upstream);
     m_sent_at = m_context.loop.now();
     m_unread_tokens = m_facts.prompt.tokens
                       - std::min(m_facts.prompt.tokens,
@@ -174,10 +174,10 @@
         m_may_have_run = had_run;
     }
     m_state.has_begun = m_began;
-    m_report.last_try = routing::to_string(how);
+    m_report.last_attempt = routing::to_string(how);
     // A busy host reads late that a caller has left, and would send on what
     // nobody waits for.
-    if (!m_port.is_there()) {
+    if (!m_port.is_connected()) {
         return;
     }
     if (takes_retry(how) && is_still_allowed()) {
--- a/src/proxy/http_get.cpp
+++ b/src/proxy/http_get.cpp
@@ -35,7 +35,7 @@
 
 void http_get::end()
 {
-    if (std::exchange(m_is_asking, false)) {
+    if (std::exchange(m_is_active, false)) {
         m_ended_at = m_loop.now();
     }
 }
@@ -51,17 +51,18 @@
 
 get_progress http_get::progress() const
 {
-    auto const until = m_is_asking ? m_loop.now() : m_ended_at;
+    auto const until = m_is_active ? m_loop.now() : m_ended_at;
     auto const since = [until](model::time_point from) {
         return std::chrono::duration_cast<model::milliseconds>(until - from);
     };
     return {m_bytes, since(m_asked_at), since(m_last_byte_at)};
 }
 
-void http_get::ask(get_request const& request, hooks call)
+void http_get::start(get_request const& request, hooks call)
 {
     bool const may_reuse = m_connection && m_connection->is_open()
-                           && m_connection->is_free() && m_at == request.at;
+                           && m_connection->is_available()
+                           && m_at == request.at;
     if (!may_reuse) {
         stop();
         m_connection =
@@ -71,28 +72,28 @@
     m_call = std::move(call);
     m_body.clear();
     m_bytes = 0;
-    m_is_asking = true;
+    m_is_active = true;
     m_asked_at = m_loop.now();
     m_last_byte_at = m_asked_at;
-    m_quiet_limit = request.quiet_limit;
-    limit(request.first_byte_limit);
+    m_idle_timeout = request.idle_timeout;
+    limit(request.first_byte_timeout);
     m_connection->send(
         fmt::format("GET {} HTTP/1.1\r\nHost: {}:{}\r\n{}\r\n",
                     request.target,
                     request.at.address,
                     request.at.port,
-                    request.is_last ? "Connection: close\r\n" : ""),
+                    request.close_after ? "Connection: close\r\n" : ""),
         false,
-        request.connect_limit,
+        request.connect_timeout,
         {[this](message_head&& head) {
              m_status = head.status;
-             limit(m_quiet_limit);
+             limit(m_idle_timeout);
          },
          [this](std::string_view bytes) {
              m_body.append(bytes);
              m_bytes += bytes.size();
              m_last_byte_at = m_loop.now();
-             limit(m_quiet_limit);
+             limit(m_idle_timeout);
          },
          [this] {
              m_loop.cancel(m_limit);
--- a/src/proxy/http_get.hpp
+++ b/src/proxy/http_get.hpp
@@ -20,14 +20,14 @@
     model::endpoint at;
     std::string target;
     /// The connection isn't wanted for another request.
-    bool is_last = false;
-    model::milliseconds connect_limit{300};
+    bool close_after = false;
+    model::milliseconds connect_timeout{300};
     /// Until the answer's first byte.
-    model::milliseconds first_byte_limit{700};
+    model::milliseconds first_byte_timeout{700};
     /// Between two bytes. Nothing limits the whole: an answer that is dropped
     /// while it comes is asked for again from its first byte, and over a full
     /// link never arrives.
-    model::milliseconds quiet_limit{700};
+    model::milliseconds idle_timeout{700};
 };
 
 /// How far an answer has come.
@@ -37,7 +37,7 @@
     /// Since the request.
     model::milliseconds total{0};
     /// Since the last byte; since the request if none came.
-    model::milliseconds quiet{0};
+    model::milliseconds idle{0};
 };
 
 /// Asks for one document at a time, and collects it.
@@ -60,14 +60,14 @@
 
     /// Begins to ask; what was asked before is given up without a word. Hooks
     /// may ask again.
-    void ask(get_request const& request, hooks call);
+    void start(get_request const& request, hooks call);
 
     /// Gives up what was asked, and the connection.
     void stop();
 
-    bool is_asking() const
+    bool is_active() const
     {
-        return m_is_asking;
+        return m_is_active;
     }
 
     /// Of the last answer, whole or not.
@@ -83,14 +83,14 @@
     model::endpoint m_at;
     hooks m_call;
     runtime::timer_handle m_limit;
-    model::milliseconds m_quiet_limit{0};
+    model::milliseconds m_idle_timeout{0};
     std::string m_body;
     std::size_t m_bytes = 0;
     model::time_point m_asked_at{};
     model::time_point m_last_byte_at{};
     model::time_point m_ended_at{};
     int m_status = 0;
-    bool m_is_asking = false;
+    bool m_is_active = false;
 };
 
 } // namespace caperjunction::proxy
--- a/src/proxy/http_reader.hpp
+++ b/src/proxy/http_reader.hpp
@@ -41,13 +41,13 @@
     };
 
     /// Longest head that is read, in bytes, whatever the settings say.
-    static constexpr std::size_t longest_head = 65'536;
+    static constexpr std::size_t max_head = 65'536;
 
     http_reader(http_parser_type side, hooks call);
     http_reader(http_reader const&) = delete;
     http_reader& operator=(http_reader const&) = delete;
 
-    void longest_head_bytes(std::size_t most)
+    void set_max_head_bytes(std::size_t most)
     {
         m_longest_head = most;
     }
@@ -71,7 +71,7 @@
     }
 
     /// Between two messages: nothing of the next has been read.
-    bool is_between() const
+    bool is_between_messages() const
     {
         return m_between;
     }
@@ -94,7 +94,7 @@
     bool m_interim = false;
     bool m_between = true;
     std::size_t m_head_bytes = 0;
-    std::size_t m_longest_head = longest_head;
+    std::size_t m_longest_head = max_head;
     read_fault m_fault = read_fault::none;
 };
 
--- a/src/proxy/limit_notices.cpp
+++ b/src/proxy/limit_notices.cpp
@@ -45,9 +45,9 @@
                : std::nullopt;
 }
 
-void note_limit(relay_context& context,
-                routing::upstream_state& from,
-                message_head const& answer)
+void record_limit(relay_context& context,
+                  routing::upstream_state& from,
+                  message_head const& answer)
 {
     if (answer.status == misdirected) {
         return;
@@ -73,7 +73,7 @@
     }
 }
 
-void apply_told_limits(relay_context& context)
+void apply_advertised_limits(relay_context& context)
 {
     context.directory.each([&context](routing::upstream_state& state) {
         auto const told =
@@ -84,7 +84,8 @@
     });
 }
 
-std::vector<routing::told_limit> limits_to_tell(relay_context const& context)
+std::vector<routing::told_limit>
+limits_to_advertise(relay_context const& context)
 {
     std::vector<routing::told_limit> list;
     auto const now = context.loop.now();
--- a/src/proxy/limit_notices.hpp
+++ b/src/proxy/limit_notices.hpp
@@ -16,15 +16,16 @@
 
 /// Learns from an answer that `from` gave to this host how many requests it
 /// takes. Only an answer that it has worked for tells that a limit is over.
-void note_limit(relay_context& context,
-                routing::upstream_state& from,
-                message_head const& answer);
+void record_limit(relay_context& context,
+                  routing::upstream_state& from,
+                  message_head const& answer);
 
 /// Learns what other hosts have told, and how this host shares limits now.
-void apply_told_limits(relay_context& context);
+void apply_advertised_limits(relay_context& context);
 
 /// What this host's own answers have said, for the others.
-std::vector<routing::told_limit> limits_to_tell(relay_context const& context);
+std::vector<routing::told_limit>
+limits_to_advertise(relay_context const& context);
 
 } // namespace caperjunction::proxy
 
--- a/src/proxy/list_codec.cpp
+++ b/src/proxy/list_codec.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-std::string encode_configuration(told_configuration const& from)
+std::string encode_configuration(packed_configuration const& from)
 {
     flatbuffers::FlatBufferBuilder builder;
     auto const key = builder.CreateString(from.key);
@@ -32,13 +32,13 @@
     return text_of(builder);
 }
 
-std::optional<told_configuration> decode_configuration(std::string_view bytes)
+std::optional<packed_configuration> decode_configuration(std::string_view bytes)
 {
     auto const* const from = verified<wire::Configuration>(bytes);
     if (from == nullptr || from->key() == nullptr || from->text() == nullptr) {
         return std::nullopt;
     }
-    told_configuration made;
+    packed_configuration made;
     made.key = from->key()->str();
     made.revision = from->revision();
     made.checked = from->checked();
--- a/src/proxy/list_codec.hpp
+++ b/src/proxy/list_codec.hpp
@@ -12,7 +12,7 @@
 namespace caperjunction::proxy {
 
 /// The newest configuration that a host has, on its way to another.
-struct told_configuration
+struct packed_configuration
 {
     std::string key;
     std::uint64_t revision = 0;
@@ -24,10 +24,11 @@
     std::string packed;
 };
 
-std::string encode_configuration(told_configuration const& from);
+std::string encode_configuration(packed_configuration const& from);
 
 /// Nothing if the bytes are no configuration.
-std::optional<told_configuration> decode_configuration(std::string_view bytes);
+std::optional<packed_configuration>
+decode_configuration(std::string_view bytes);
 
 /// What a host has read of the store.
 struct item_list
--- a/src/proxy/message_head.cpp
+++ b/src/proxy/message_head.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-bool is_same_name(std::string_view a, std::string_view b)
+bool header_names_equal(std::string_view a, std::string_view b)
 {
     return a.size() == b.size()
            && std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) {
@@ -39,7 +39,7 @@
 {
     return std::any_of(
         hop_by_hop.begin(), hop_by_hop.end(), [name](auto const& item) {
-            return is_same_name(item, name);
+            return header_names_equal(item, name);
         });
 }
 
@@ -57,7 +57,7 @@
 std::string const* message_head::find(std::string_view name) const
 {
     for (header_line const& line : headers) {
-        if (is_same_name(line.name, name)) {
+        if (header_names_equal(line.name, name)) {
             return &line.value;
         }
     }
--- a/src/proxy/message_head.hpp
+++ b/src/proxy/message_head.hpp
@@ -38,7 +38,7 @@
 };
 
 /// Compares as header names are compared.
-bool is_same_name(std::string_view a, std::string_view b);
+bool header_names_equal(std::string_view a, std::string_view b);
 
 /// Headers that concern one connection and not the message.
 bool is_hop_by_hop(std::string_view name);
--- a/src/proxy/message_text.cpp
+++ b/src/proxy/message_text.cpp
@@ -23,11 +23,12 @@
 {
     bool const is_own = std::any_of(
         names.host_only.begin(), names.host_only.end(), [&](auto const& own) {
-            return is_same_name(name, own);
+            return header_names_equal(name, own);
         });
-    return is_own || is_hop_by_hop(name) || is_same_name(name, "Authorization")
-           || is_same_name(name, "Expect")
-           || is_same_name(name, names.deadline_ms);
+    return is_own || is_hop_by_hop(name)
+           || header_names_equal(name, "Authorization")
+           || header_names_equal(name, "Expect")
+           || header_names_equal(name, names.deadline_ms);
 }
 
 std::string_view phrase_of(int status)
@@ -75,7 +76,7 @@
     for (header_line const& line : head.headers) {
         bool const is_replaced =
             !added.last_event_id.empty()
-            && is_same_name(line.name, names.last_event_id);
+            && header_names_equal(line.name, names.last_event_id);
         if (!is_replaced && !is_withheld(line.name, names)) {
             add_line(text, line.name, line.value);
         }
--- a/src/proxy/peer_link.cpp
+++ b/src/proxy/peer_gossip.cpp
@@ -1,4 +1,4 @@
-#include "proxy/peer_link.hpp"
+#include "proxy/peer_gossip.hpp"
 
 #include "model/error.hpp"
 #include "proxy/limit_notices.hpp"
@@ -40,7 +40,7 @@
 
 } // namespace
 
-peer_link::peer_link(relay_context& context, model::endpoint const& listen)
+peer_gossip::peer_gossip(relay_context& context, model::endpoint const& listen)
     : m_context(context)
     , m_socket(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0))
     , m_generation(std::random_device{}())
@@ -63,7 +63,7 @@
         m_socket,
         EV_READ | EV_PERSIST,
         [](int, short, void* self) {
-            static_cast<peer_link*>(self)->hear();
+            static_cast<peer_gossip*>(self)->hear();
         },
         this);
     event_add(m_read, nullptr);
@@ -72,7 +72,7 @@
     });
 }
 
-peer_link::~peer_link()
+peer_gossip::~peer_gossip()
 {
     m_context.loop.cancel(m_timer);
     m_context.loop.cancel(m_change_timer);
@@ -80,7 +80,7 @@
     close(m_socket);
 }
 
-digest_frame peer_link::own_frame()
+digest_frame peer_gossip::own_frame()
 {
     digest_frame frame;
     routing::peer_digest& digest = frame.digest;
@@ -102,7 +102,7 @@
                 {routing::urgent_load_key(service), {count, 0, 0}, {}});
         }
     }
-    digest.limits = limits_to_tell(m_context);
+    digest.limits = limits_to_advertise(m_context);
     digest.suspects =
         m_context.suspects.to_tell(most_suspects, m_context.loop.now());
     frame.stamp = m_context.boot_now();
@@ -114,7 +114,7 @@
     return frame;
 }
 
-void peer_link::tell_of_change()
+void peer_gossip::broadcast_change()
 {
     // Hosts that all watch for themselves need no word of it.
     if (m_context.peers.alive() < routing::peer_table::least_to_share) {
@@ -128,7 +128,7 @@
     });
 }
 
-void peer_link::tell()
+void peer_gossip::tell()
 {
     routing::peer_table& peers = m_context.peers;
     auto const now = m_context.loop.now();
@@ -148,7 +148,7 @@
     });
 }
 
-void peer_link::tell_all(
+void peer_gossip::tell_all(
     std::vector<routing::peer_table::listener> const& audience,
     digest_frame frame)
 {
@@ -165,7 +165,7 @@
     }
 }
 
-void peer_link::send_to(model::endpoint const& to, digest_frame& frame)
+void peer_gossip::send_to(model::endpoint const& to, digest_frame& frame)
 {
     auto const heard = m_echoes.find(fmt::format("{}:{}", to.address, to.port));
     if (heard != m_echoes.end()) {
@@ -184,7 +184,7 @@
            sizeof address);
 }
 
-void peer_link::hear()
+void peer_gossip::hear()
 {
     static std::array<char, largest_datagram> s_bytes;
     for (;;) {
@@ -206,7 +206,7 @@
     }
 }
 
-void peer_link::take(std::string_view bytes, model::endpoint const& from)
+void peer_gossip::take(std::string_view bytes, model::endpoint const& from)
 {
     auto frame = decode_digest(bytes);
     if (!frame) {
@@ -232,8 +232,8 @@
     }
 }
 
-void peer_link::confirm_by(routing::peer_digest const& told,
-                           model::time_point now)
+void peer_gossip::confirm_by(routing::peer_digest const& told,
+                             model::time_point now)
 {
     routing::store_revisions& known = m_context.known;
     if (!known.covers_configuration(told.known)) {
@@ -245,7 +245,7 @@
     }
 }
 
-void peer_link::apply_loads()
+void peer_gossip::apply_loads()
 {
     m_context.peers.add_up();
     m_context.directory.each([this](routing::upstream_state& state) {
@@ -254,7 +254,7 @@
         state.others = told.load;
         state.others_pace = told.pace;
     });
-    apply_told_limits(m_context);
+    apply_advertised_limits(m_context);
     if (m_alive != m_context.peers.alive()) {
         m_alive = m_context.peers.alive();
         if (m_on_changed) {
--- a/src/proxy/peer_link.hpp
+++ b/src/proxy/peer_gossip.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_PROXY_PEER_LINK_HPP
-#define CAPERJUNCTION_PROXY_PEER_LINK_HPP
+#ifndef CAPERJUNCTION_PROXY_PEER_GOSSIP_HPP
+#define CAPERJUNCTION_PROXY_PEER_GOSSIP_HPP
 
 #include "proxy/digest_codec.hpp"
 #include "proxy/relay_context.hpp"
@@ -22,14 +22,14 @@
 /// made good by the next, and a host that hangs holds up nobody.
 ///
 /// Thread safety: none; owned by the loop's task.
-class peer_link
+class peer_gossip
 {
 public:
     /// \throws model::error (bad_settings) if the address is not to be had.
-    peer_link(relay_context& context, model::endpoint const& listen);
-    ~peer_link();
-    peer_link(peer_link const&) = delete;
-    peer_link& operator=(peer_link const&) = delete;
+    peer_gossip(relay_context& context, model::endpoint const& listen);
+    ~peer_gossip();
+    peer_gossip(peer_gossip const&) = delete;
+    peer_gossip& operator=(peer_gossip const&) = delete;
 
     /// Called when a host is heard first, or again, and when it falls silent.
     void on_peers_changed(std::function<void(std::size_t alive)> call)
@@ -38,14 +38,14 @@
     }
 
     /// Called when a host is heard that has changes which this one lacks.
-    void on_newer(std::function<void()> call)
+    void on_newer_revision(std::function<void()> call)
     {
         m_on_heard = std::move(call);
     }
 
     /// Tells some others at the end of this turn of a change that they wait
     /// for.
-    void tell_of_change();
+    void broadcast_change();
 
 private:
     struct echo
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -79,7 +79,7 @@
     // A connection keeps its caller alive until one of them lets go.
     auto const callers = std::move(m_callers);
     for (auto const& [key, item] : callers) {
-        item->drop();
+        item->abort();
     }
 }
 
@@ -99,8 +99,8 @@
     auto const late = std::chrono::duration_cast<model::milliseconds>(
         now - m_swept_at - sweep_period);
     m_swept_at = now;
-    if (late >= noticeable_delay && m_context.on_late) {
-        m_context.on_late(late);
+    if (late >= noticeable_delay && m_context.on_loop_late) {
+        m_context.on_loop_late(late);
     }
 }
 
@@ -118,9 +118,9 @@
 {
     note_lateness();
     for (auto const& item : all_callers()) {
-        item->check_times();
+        item->check_timeouts();
     }
-    m_context.pool.sweep();
+    m_context.pool.close_idle();
     m_context.directory.drop_missing(m_context.loop.now());
     if (m_context.is_stopping) {
         check_stop();
@@ -135,7 +135,7 @@
     }
     m_context.is_stopping = true;
     m_on_stopped = std::move(on_stopped);
-    m_context.stop_began = signalled;
+    m_context.stop_started_at = signalled;
     auto const left = m_context.settings.stop_limit - routing::last_moment
                       - m_context.since_stop();
     m_stop_limit = m_context.loop.after(left, [this] {
--- a/src/proxy/relay_context.hpp
+++ b/src/proxy/relay_context.hpp
@@ -59,13 +59,13 @@
     std::function<void(connection_report const&)> on_connection_ended;
     /// Called when the loop came to its sweep later than it should have, by
     /// so much: it lacks processor time.
-    std::function<void(model::milliseconds)> on_late;
+    std::function<void(model::milliseconds)> on_loop_late;
 
     /// Set from the signal to stop: answers close their connections.
     bool is_stopping = false;
     /// Bytes of request bodies that are held.
-    std::size_t held_bytes = 0;
-    model::time_point stop_began{};
+    std::size_t buffered_bytes = 0;
+    model::time_point stop_started_at{};
 
     relay_context(runtime::event_loop& on,
                   wire_names const& wire,
@@ -88,12 +88,12 @@
     model::milliseconds since_stop() const
     {
         return is_stopping ? std::chrono::duration_cast<model::milliseconds>(
-                   loop.now() - stop_began)
+                   loop.now() - stop_started_at)
                            : model::milliseconds{-1};
     }
 
     /// Whether a request that may take `longest` is taken now.
-    bool takes_new(model::milliseconds longest) const
+    bool accepts_new_request(model::milliseconds longest) const
     {
         return !is_stopping
                || routing::takes_new(
@@ -101,7 +101,7 @@
     }
 
     /// Most urgent streams of `service` that run, from all hosts.
-    std::uint32_t all_urgent_streams(std::string const& service) const
+    std::uint32_t fleet_urgent_streams(std::string const& service) const
     {
         auto const own = urgent_streams.find(service);
         return (own == urgent_streams.end() ? 0 : own->second)
--- a/src/proxy/relay_settings.hpp
+++ b/src/proxy/relay_settings.hpp
@@ -35,7 +35,7 @@
     model::milliseconds connect_timeout{250};
     /// Bytes of request bodies held at once: half of the smallest host's
     /// memory. Beyond it the process would be ended and all callers with it.
-    std::size_t held_bytes = 40'000'000;
+    std::size_t max_buffered_bytes = 40'000'000;
 };
 
 } // namespace caperjunction::proxy
--- a/src/proxy/request_facts.cpp
+++ b/src/proxy/request_facts.cpp
@@ -52,7 +52,7 @@
 {
     line = trimmed(line);
     if (line.size() <= scheme.size() || line[scheme.size()] != ' '
-        || !is_same_name(line.substr(0, scheme.size()), scheme)) {
+        || !header_names_equal(line.substr(0, scheme.size()), scheme)) {
         return {};
     }
     return trimmed(line.substr(scheme.size()));
@@ -65,20 +65,20 @@
     request_facts facts;
     facts.path = std::string_view(head.target).substr(0, head.target.find('?'));
     for (header_line const& line : head.headers) {
-        if (is_same_name(line.name, names.request_id)) {
+        if (header_names_equal(line.name, names.request_id)) {
             facts.id = line.value;
-        } else if (is_same_name(line.name, "Host")) {
+        } else if (header_names_equal(line.name, "Host")) {
             facts.authority = line.value;
-        } else if (is_same_name(line.name, "Authorization")) {
+        } else if (header_names_equal(line.name, "Authorization")) {
             facts.key = read_key(line.value, names.key_scheme);
-        } else if (is_same_name(line.name, names.deadline_ms)) {
+        } else if (header_names_equal(line.name, names.deadline_ms)) {
             if (auto const value = parse_number(line.value)) {
                 constexpr std::uint64_t day_ms = 86'400'000;
                 facts.deadline = model::milliseconds(std::min(*value, day_ms));
             }
-        } else if (is_same_name(line.name, names.prompt_parts)) {
+        } else if (header_names_equal(line.name, names.prompt_parts)) {
             facts.prompt.parts = read_parts(line.value);
-        } else if (is_same_name(line.name, names.token_counts)) {
+        } else if (header_names_equal(line.name, names.token_counts)) {
             std::string_view rest = line.value;
             facts.prompt.tokens = tokens_of(take_until(rest, ','));
             facts.prompt.max_output = tokens_of(trimmed(rest));
--- a/src/proxy/socket_options.cpp
+++ b/src/proxy/socket_options.cpp
@@ -21,27 +21,27 @@
 
 } // namespace
 
-void prepare_socket(int socket)
+void set_no_delay(int socket)
 {
     // Small writes must not wait for an acknowledgement, some 40 ms.
     set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1);
 }
 
-void limit_unacknowledged(int socket)
+void set_unacknowledged_timeout(int socket)
 {
     set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, unacknowledged_ms);
 }
 
-stream_end end_of(int failure)
+connection_end classify_socket_error(int failure)
 {
     switch (failure) {
     case ECONNRESET:
     case EPIPE:
-        return stream_end::reset;
+        return connection_end::reset;
     case ETIMEDOUT:
-        return stream_end::unacknowledged;
+        return connection_end::unacknowledged;
     default:
-        return stream_end::broken;
+        return connection_end::broken;
     }
 }
 
--- a/src/proxy/socket_options.hpp
+++ b/src/proxy/socket_options.hpp
@@ -1,12 +1,12 @@
 #ifndef CAPERJUNCTION_PROXY_SOCKET_OPTIONS_HPP
 #define CAPERJUNCTION_PROXY_SOCKET_OPTIONS_HPP
 
-#include "proxy/stream_end.hpp"
+#include "proxy/connection_end.hpp"
 
 namespace caperjunction::proxy {
 
 /// Sets what each connection needs. Thread safety: any thread.
-void prepare_socket(int socket);
+void set_no_delay(int socket);
 
 /// Ends a connection whose other side acknowledges nothing for some time, for
 /// connections to upstreams: nothing else tells that one has lost power.
@@ -14,11 +14,11 @@
 /// Not for callers: one that reads nothing for a while, or whose link is full,
 /// is alive, and its request's deadline ends it anyhow. Thread safety: any
 /// thread.
-void limit_unacknowledged(int socket);
+void set_unacknowledged_timeout(int socket);
 
 /// How a connection whose call failed with this `errno` ended. Thread
 /// safety: any thread.
-stream_end end_of(int failure);
+connection_end classify_socket_error(int failure);
 
 } // namespace caperjunction::proxy
 
--- a/src/proxy/store_codec.hpp
+++ b/src/proxy/store_codec.hpp
@@ -47,7 +47,7 @@
     /// What is read; each item begins with one of these.
     std::vector<std::string> prefixes;
     /// Longest wait that a watch may ask for.
-    model::milliseconds longest_wait{30'000};
+    model::milliseconds max_watch_wait{30'000};
     std::function<std::string(std::string const& prefix,
                               std::string const& after_key)>
         range_target;
--- a/src/proxy/store_reader.cpp
+++ b/src/proxy/store_reader.cpp
@@ -12,7 +12,7 @@
 /// Far above a round trip between regions; a slow store is given more by the
 /// next tries, see `failed`.
 constexpr model::milliseconds read_limit{700};
-constexpr model::milliseconds connect_limit{400};
+constexpr model::milliseconds connect_timeout{400};
 
 /// Between two tries after a failure; doubled up to the longest. The store
 /// prices calls, and keys are refused while it is away: short is better.
@@ -54,14 +54,14 @@
 void store_reader::start(model::milliseconds wait,
                          std::function<model::time_point()> boot_now)
 {
-    this->wait(wait);
+    set_watch_wait(wait);
     m_boot_now = std::move(boot_now);
     read_page("");
 }
 
-void store_reader::wait(model::milliseconds wait)
+void store_reader::set_watch_wait(model::milliseconds wait)
 {
-    m_wait = std::min(wait, m_codec.longest_wait);
+    m_wait = std::min(wait, m_codec.max_watch_wait);
 }
 
 void store_reader::call(std::string const& target,
@@ -72,14 +72,14 @@
     get_request request;
     request.at = m_at;
     request.target = target;
-    request.connect_limit = connect_limit;
+    request.connect_timeout = connect_timeout;
     // Later tries wait longer: a store that answers slowly is not away.
     auto const patience = read_limit * std::min(m_failures, 3U);
-    request.first_byte_limit = limit + patience;
-    request.quiet_limit = read_limit + patience;
-    m_get.ask(request, {std::move(on_answer), [this](std::string_view why) {
-                            failed(why);
-                        }});
+    request.first_byte_timeout = limit + patience;
+    request.idle_timeout = read_limit + patience;
+    m_get.start(request, {std::move(on_answer), [this](std::string_view why) {
+                              failed(why);
+                          }});
 }
 
 void store_reader::read_page(std::string const& after_key)
@@ -123,13 +123,13 @@
         return;
     }
     m_whole = true;
-    m_call.on_all(m_keys);
+    m_call.on_complete(m_keys);
     m_confirmed = m_sent_at;
     m_call.on_confirmed(m_confirmed, m_revision);
     rest_or_watch();
 }
 
-void store_reader::keep_watching(bool on)
+void store_reader::set_watching(bool on)
 {
     m_keeps_watching = on;
     if (on && m_is_resting) {
@@ -137,7 +137,7 @@
     }
 }
 
-void store_reader::look_once()
+void store_reader::poll_once()
 {
     if (std::exchange(m_is_resting, false)) {
         m_looks_once = true;
--- a/src/proxy/store_reader.hpp
+++ b/src/proxy/store_reader.hpp
@@ -16,9 +16,9 @@
 namespace caperjunction::proxy {
 
 /// How a call to the store failed.
-struct store_loss
+struct store_failure
 {
-    std::string_view why;
+    std::string_view reason;
     /// range or watch.
     std::string_view call;
     /// How far the answer had come.
@@ -30,12 +30,12 @@
 {
     std::function<void(store_item const&)> on_item;
     /// The whole prefix was read anew; these keys are there.
-    std::function<void(std::vector<std::string> const& keys)> on_all;
+    std::function<void(std::vector<std::string> const& keys)> on_complete;
     /// The store has told all changes up to `revision`, and had no others as
     /// of `as_of` (the clock that counts suspended time).
     std::function<void(model::time_point as_of, std::uint64_t revision)>
         on_confirmed;
-    std::function<void(store_loss const&)> on_lost;
+    std::function<void(store_failure const&)> on_lost;
     std::function<void()> on_regained;
 };
 
@@ -65,14 +65,14 @@
                std::function<model::time_point()> boot_now);
 
     /// Changes how long a watch waits, from the next one on.
-    void wait(model::milliseconds wait);
+    void set_watch_wait(model::milliseconds wait);
 
     /// Whether another watch follows the present one. A reader that rests
     /// holds what it has; a first whole read is made in any case.
-    void keep_watching(bool on);
+    void set_watching(bool on);
 
     /// Asks once whether anything has changed, while it rests.
-    void look_once();
+    void poll_once();
 
     /// All changes up to `revision` are known from elsewhere. While it rests,
     /// the reader goes on from there: asked for what came before, the store
--- a/src/proxy/stream.cpp
+++ b/src/proxy/tcp_stream.cpp
@@ -1,4 +1,4 @@
-#include "proxy/stream.hpp"
+#include "proxy/tcp_stream.hpp"
 
 #include "proxy/socket_options.hpp"
 
@@ -21,7 +21,7 @@
 
 } // namespace
 
-stream::stream(runtime::event_loop& loop, int socket, hooks call)
+tcp_stream::tcp_stream(runtime::event_loop& loop, int socket, hooks call)
     : m_loop(loop)
     , m_socket(socket)
     , m_call(std::move(call))
@@ -29,37 +29,38 @@
 {
 }
 
-stream::~stream()
+tcp_stream::~tcp_stream()
 {
     close();
     evbuffer_free(m_unsent);
 }
 
-std::shared_ptr<stream> stream::connect(runtime::event_loop& loop,
-                                        model::endpoint const& to,
-                                        model::milliseconds timeout,
-                                        hooks call)
+std::shared_ptr<tcp_stream> tcp_stream::connect(runtime::event_loop& loop,
+                                                model::endpoint const& to,
+                                                model::milliseconds timeout,
+                                                hooks call)
 {
     int const socket =
         ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    std::shared_ptr<stream> made(new stream(loop, socket, std::move(call)));
+    std::shared_ptr<tcp_stream> made(
+        new tcp_stream(loop, socket, std::move(call)));
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(to.port);
     bool ok = socket >= 0
               && inet_pton(AF_INET, to.address.c_str(), &address.sin_addr) == 1;
     if (ok) {
-        prepare_socket(socket);
-        limit_unacknowledged(socket);
+        set_no_delay(socket);
+        set_unacknowledged_timeout(socket);
         ok = ::connect(
                  socket, reinterpret_cast<sockaddr*>(&address), sizeof address)
                  == 0
              || errno == EINPROGRESS;
     }
-    std::weak_ptr<stream> const weak = made;
+    std::weak_ptr<tcp_stream> const weak = made;
     auto const fail = [weak] {
         if (auto const own = weak.lock()) {
-            own->end(stream_end::unreachable);
+            own->end(connection_end::unreachable);
         }
     };
     if (!ok) {
@@ -73,24 +74,25 @@
     return made;
 }
 
-std::shared_ptr<stream>
-stream::adopt(runtime::event_loop& loop, int socket, hooks call)
+std::shared_ptr<tcp_stream>
+tcp_stream::adopt(runtime::event_loop& loop, int socket, hooks call)
 {
-    std::shared_ptr<stream> made(new stream(loop, socket, std::move(call)));
-    prepare_socket(socket);
+    std::shared_ptr<tcp_stream> made(
+        new tcp_stream(loop, socket, std::move(call)));
+    set_no_delay(socket);
     made->watch();
     event_add(made->m_read, nullptr);
     return made;
 }
 
-void stream::watch()
+void tcp_stream::watch()
 {
     m_read = event_new(
         m_loop.base(),
         m_socket,
         EV_READ | EV_PERSIST,
         [](int, short, void* self) {
-            static_cast<stream*>(self)->handle_readable();
+            static_cast<tcp_stream*>(self)->handle_readable();
         },
         this);
     m_write = event_new(
@@ -98,17 +100,17 @@
         m_socket,
         EV_WRITE,
         [](int, short, void* self) {
-            static_cast<stream*>(self)->handle_writable();
+            static_cast<tcp_stream*>(self)->handle_writable();
         },
         this);
 }
 
-void stream::rewire(hooks call)
+void tcp_stream::set_hooks(hooks call)
 {
     m_call = std::move(call);
 }
 
-void stream::handle_readable()
+void tcp_stream::handle_readable()
 {
     static std::array<char, read_bytes> s_bytes;
     auto const keep = shared_from_this();
@@ -124,10 +126,10 @@
     if (got < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
-    end(got == 0 ? stream_end::closed : end_of(errno));
+    end(got == 0 ? connection_end::closed : classify_socket_error(errno));
 }
 
-void stream::handle_writable()
+void tcp_stream::handle_writable()
 {
     auto const keep = shared_from_this();
     if (m_connecting) {
@@ -135,7 +137,7 @@
         socklen_t size = sizeof failure;
         getsockopt(m_socket, SOL_SOCKET, SO_ERROR, &failure, &size);
         if (failure != 0) {
-            end(stream_end::unreachable);
+            end(connection_end::unreachable);
             return;
         }
         m_connecting = false;
@@ -151,12 +153,12 @@
     }
 }
 
-void stream::flush()
+void tcp_stream::flush()
 {
     while (evbuffer_get_length(m_unsent) > 0) {
         if (evbuffer_write(m_unsent, m_socket) < 0) {
             if (errno != EAGAIN && errno != EINTR) {
-                end(end_of(errno));
+                end(classify_socket_error(errno));
                 return;
             }
             event_add(m_write, nullptr);
@@ -173,7 +175,7 @@
     }
 }
 
-void stream::write(std::string_view bytes)
+void tcp_stream::write(std::string_view bytes)
 {
     if (!is_open() || bytes.empty()) {
         return;
@@ -195,7 +197,7 @@
     }
 }
 
-void stream::read(bool enabled)
+void tcp_stream::enable_reading(bool enabled)
 {
     if (m_read == nullptr || m_connecting) {
         return;
@@ -207,14 +209,14 @@
     }
 }
 
-void stream::read_now()
+void tcp_stream::read_available()
 {
     if (is_open() && !m_connecting) {
         handle_readable();
     }
 }
 
-std::size_t stream::unsent() const
+std::size_t tcp_stream::unsent_bytes() const
 {
     return evbuffer_get_length(m_unsent);
 }
--- a/src/proxy/stream.hpp
+++ b/src/proxy/tcp_stream.hpp
@@ -1,9 +1,9 @@
-#ifndef CAPERJUNCTION_PROXY_STREAM_HPP
-#define CAPERJUNCTION_PROXY_STREAM_HPP
+#ifndef CAPERJUNCTION_PROXY_TCP_STREAM_HPP
+#define CAPERJUNCTION_PROXY_TCP_STREAM_HPP
 
 #include "model/endpoint.hpp"
 #include "model/time.hpp"
-#include "proxy/stream_end.hpp"
+#include "proxy/connection_end.hpp"
 #include "runtime/event_loop.hpp"
 
 #include <cstddef>
@@ -17,9 +17,9 @@
 namespace caperjunction::proxy {
 
 /// What was left when a connection that this host closed is over.
-struct finish_report
+struct close_report
 {
-    stream_end by = stream_end::closed;
+    connection_end end = connection_end::closed;
     /// Bytes that the system had not taken.
     std::size_t unsent_bytes = 0;
     /// Bytes that came after this host had begun to close.
@@ -32,47 +32,47 @@
 /// read and one write, without a round through the loop.
 ///
 /// Thread safety: none; owned by the loop's task. Hooks may close it.
-class stream : public std::enable_shared_from_this<stream>
+class tcp_stream : public std::enable_shared_from_this<tcp_stream>
 {
 public:
     struct hooks
     {
         std::function<void()> on_connected;
         std::function<void(std::string_view)> on_data;
-        std::function<void(stream_end)> on_end;
+        std::function<void(connection_end)> on_end;
         /// All that was written has been handed to the system.
         std::function<void()> on_drained;
     };
 
     /// Connects; ends as unreachable after `timeout`, and as unacknowledged
     /// where the other side falls silent.
-    static std::shared_ptr<stream> connect(runtime::event_loop& loop,
-                                           model::endpoint const& to,
-                                           model::milliseconds timeout,
-                                           hooks call);
+    static std::shared_ptr<tcp_stream> connect(runtime::event_loop& loop,
+                                               model::endpoint const& to,
+                                               model::milliseconds timeout,
+                                               hooks call);
 
     /// Takes over an accepted socket.
-    static std::shared_ptr<stream>
+    static std::shared_ptr<tcp_stream>
     adopt(runtime::event_loop& loop, int socket, hooks call);
 
-    ~stream();
-    stream(stream const&) = delete;
-    stream& operator=(stream const&) = delete;
+    ~tcp_stream();
+    tcp_stream(tcp_stream const&) = delete;
+    tcp_stream& operator=(tcp_stream const&) = delete;
 
     /// Replaces the hooks, for the next user of a kept connection.
-    void rewire(hooks call);
+    void set_hooks(hooks call);
 
     void write(std::string_view bytes);
 
     /// Stops or resumes reading; the other side's end isn't seen meanwhile.
-    void read(bool enabled);
+    void enable_reading(bool enabled);
 
     /// Hands on what has come by now, without waiting for the loop. Hooks may
     /// be called before it returns.
-    void read_now();
+    void read_available();
 
     /// Bytes that wait for the socket.
-    std::size_t unsent() const;
+    std::size_t unsent_bytes() const;
 
     /// Ends the connection without a word; no hook is called any more.
     void close();
@@ -87,7 +87,8 @@
     ///
     /// `on_finished` is called once, when the connection is over, unless it
     /// is closed before.
-    void finish(std::function<void(finish_report const&)> on_finished = {});
+    void
+    close_gracefully(std::function<void(close_report const&)> on_finished = {});
 
     bool is_open() const
     {
@@ -95,13 +96,13 @@
     }
 
 private:
-    stream(runtime::event_loop& loop, int socket, hooks call);
+    tcp_stream(runtime::event_loop& loop, int socket, hooks call);
 
     void watch();
     void handle_readable();
     void handle_writable();
     void flush();
-    void end(stream_end how);
+    void end(connection_end how);
     void wait_for_close(std::size_t unsent_before, model::milliseconds stalled);
 
     runtime::event_loop& m_loop;
@@ -114,7 +115,7 @@
     bool m_connecting = false;
     bool m_finishing = false;
     std::size_t m_late_bytes = 0;
-    std::function<void(finish_report const&)> m_on_finished;
+    std::function<void(close_report const&)> m_on_finished;
 };
 
 } // namespace caperjunction::proxy
--- a/src/proxy/stream_close.cpp
+++ b/src/proxy/tcp_stream_close.cpp
@@ -1,4 +1,4 @@
-#include "proxy/stream.hpp"
+#include "proxy/tcp_stream.hpp"
 
 #include <event2/event.h>
 #include <sys/socket.h>
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void stream::reset()
+void tcp_stream::reset()
 {
     linger const at_once{1, 0};
     if (is_open()) {
@@ -26,7 +26,8 @@
     close();
 }
 
-void stream::finish(std::function<void(finish_report const&)> on_finished)
+void tcp_stream::close_gracefully(
+    std::function<void(close_report const&)> on_finished)
 {
     if (!is_open() || m_finishing) {
         return;
@@ -35,37 +36,37 @@
     m_on_finished = std::move(on_finished);
     // Nobody hears of what follows; the owner may go.
     m_call = {};
-    read(true);
-    if (unsent() == 0) {
+    enable_reading(true);
+    if (unsent_bytes() == 0) {
         shutdown(m_socket, SHUT_WR);
     }
-    wait_for_close(unsent(), model::milliseconds{0});
+    wait_for_close(unsent_bytes(), model::milliseconds{0});
 }
 
 // The rest of an answer may need longer than any fixed time on a full link.
-void stream::wait_for_close(std::size_t unsent_before,
-                            model::milliseconds stalled)
+void tcp_stream::wait_for_close(std::size_t unsent_before,
+                                model::milliseconds stalled)
 {
     auto const keep = shared_from_this();
     m_timer = m_loop.after(closing_time, [keep, unsent_before, stalled] {
-        std::size_t const left = keep->unsent();
+        std::size_t const left = keep->unsent_bytes();
         bool const moves = left < unsent_before;
         auto const now_stalled =
             moves ? model::milliseconds{0} : stalled + closing_time;
         if (now_stalled >= (left == 0 ? closing_time : longest_stall)) {
-            keep->end(stream_end::own_close);
+            keep->end(connection_end::own_close);
             return;
         }
         keep->wait_for_close(left, now_stalled);
     });
 }
 
-void stream::end(stream_end how)
+void tcp_stream::end(connection_end how)
 {
     bool const tell = !m_finishing;
     auto const call = m_call.on_end;
     auto const on_finished = std::exchange(m_on_finished, nullptr);
-    finish_report const report{how, unsent(), m_late_bytes};
+    close_report const report{how, unsent_bytes(), m_late_bytes};
     close();
     if (tell && call) {
         call(how);
@@ -75,7 +76,7 @@
     }
 }
 
-void stream::close()
+void tcp_stream::close()
 {
     if (m_socket < 0) {
         return;
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -57,7 +57,7 @@
     m_call = std::move(call);
     m_reader.expect_no_body(is_head_request);
     if (m_stream == nullptr) {
-        m_stream = stream::connect(
+        m_stream = tcp_stream::connect(
             m_loop,
             m_at,
             connect_timeout,
@@ -67,13 +67,14 @@
              [this](std::string_view bytes) {
                  take(bytes);
              },
-             [this](stream_end how) {
+             [this](connection_end how) {
                  auto const keep = shared_from_this();
-                 if (how == stream_end::closed && m_reader.feed_end()) {
+                 if (how == connection_end::closed && m_reader.feed_end()) {
                      return;
                  }
-                 fail(how == stream_end::unreachable ? answer_fault::unreachable
-                                                     : answer_fault::broken);
+                 fail(how == connection_end::unreachable
+                          ? answer_fault::unreachable
+                          : answer_fault::broken);
              },
              nullptr});
     }
@@ -133,7 +134,7 @@
     }
     // An upstream may answer before it has the whole request and then read
     // on: what is unsent would be taken for the next request.
-    m_keep = m_keep && m_stream->unsent() == 0;
+    m_keep = m_keep && m_stream->unsent_bytes() == 0;
     m_free = true;
     m_idle_since = m_loop.now();
     auto const call = std::exchange(m_call, {});
@@ -155,10 +156,10 @@
     }
 }
 
-void upstream_connection::read(bool enabled)
+void upstream_connection::enable_reading(bool enabled)
 {
     if (m_stream) {
-        m_stream->read(enabled);
+        m_stream->enable_reading(enabled);
     }
 }
 
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -4,7 +4,7 @@
 #include "model/time.hpp"
 #include "proxy/http_reader.hpp"
 #include "proxy/message_head.hpp"
-#include "proxy/stream.hpp"
+#include "proxy/tcp_stream.hpp"
 #include "runtime/event_loop.hpp"
 
 #include <cstdint>
@@ -59,14 +59,14 @@
     void close();
 
     /// Stops or resumes taking the answer's bytes.
-    void read(bool enabled);
+    void enable_reading(bool enabled);
 
     /// The answer that comes first isn't the one that was asked for: what
     /// follows it is read as the next, and the connection isn't kept.
     void skip_answer();
 
     /// May serve another request.
-    bool is_free() const
+    bool is_available() const
     {
         return m_free && m_keep;
     }
@@ -101,7 +101,7 @@
 
     runtime::event_loop& m_loop;
     model::endpoint m_at;
-    std::shared_ptr<stream> m_stream;
+    std::shared_ptr<tcp_stream> m_stream;
     http_reader m_reader;
     answer_hooks m_call;
     bool m_connected = false;
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -12,12 +12,12 @@
 
 bool upstream_pool::is_usable(upstream_connection const& connection) const
 {
-    return connection.is_open() && connection.is_free()
+    return connection.is_open() && connection.is_available()
            && m_loop.now() - connection.idle_since() < connection.keep_alive();
 }
 
 std::shared_ptr<upstream_connection>
-upstream_pool::take(routing::upstream_ptr const& upstream)
+upstream_pool::acquire(routing::upstream_ptr const& upstream)
 {
     auto const found = m_kept.find(upstream.get());
     if (found != m_kept.end()) {
@@ -35,8 +35,8 @@
     return std::make_shared<upstream_connection>(m_loop, upstream->about.at);
 }
 
-void upstream_pool::give_back(routing::upstream_ptr const& upstream,
-                              std::shared_ptr<upstream_connection> connection)
+void upstream_pool::release(routing::upstream_ptr const& upstream,
+                            std::shared_ptr<upstream_connection> connection)
 {
     if (!is_usable(*connection) || upstream->gone) {
         connection->close();
@@ -47,7 +47,7 @@
     place.free.push_back(std::move(connection));
 }
 
-void upstream_pool::sweep()
+void upstream_pool::close_idle()
 {
     for (auto item = m_kept.begin(); item != m_kept.end();) {
         auto& free = item->second.free;
--- a/src/proxy/upstream_pool.hpp
+++ b/src/proxy/upstream_pool.hpp
@@ -24,18 +24,18 @@
 
     /// A connection that is free, the one used last first, or a new one.
     std::shared_ptr<upstream_connection>
-    take(routing::upstream_ptr const& upstream);
+    acquire(routing::upstream_ptr const& upstream);
 
     /// Puts back a connection whose answer has come whole.
-    void give_back(routing::upstream_ptr const& upstream,
-                   std::shared_ptr<upstream_connection> connection);
+    void release(routing::upstream_ptr const& upstream,
+                 std::shared_ptr<upstream_connection> connection);
 
     /// Closes what has been idle for too long, and all to upstreams that
     /// are gone.
-    void sweep();
+    void close_idle();
 
     /// Connections opened so far.
-    std::uint64_t opened() const
+    std::uint64_t connections_opened() const
     {
         return m_opened;
     }
--- a/tests/proxy/connection_report_test.cpp
+++ b/tests/proxy/connection_report_test.cpp
@@ -5,7 +5,7 @@
 namespace caperjunction::test {
 namespace {
 
-using proxy::stream_end;
+using proxy::connection_end;
 
 scripted_upstream& add_slow(relay_fixture& site)
 {
@@ -40,8 +40,8 @@
     }));
     CHECK(site.reports.back().ended_by == "closed");
     REQUIRE(site.connections.size() == 1);
-    CHECK(site.connections.back().by == stream_end::closed);
-    CHECK(site.connections.back().during == "serving");
+    CHECK(site.connections.back().end == connection_end::closed);
+    CHECK(site.connections.back().activity == "serving");
     CHECK(!site.connections.back().is_loss());
 }
 
@@ -67,8 +67,8 @@
         return caller->closed;
     }));
     REQUIRE(site.connections.size() == 1);
-    CHECK(site.connections.back().by == stream_end::own_close);
-    CHECK(site.connections.back().during == "serving");
+    CHECK(site.connections.back().end == connection_end::own_close);
+    CHECK(site.connections.back().activity == "serving");
     CHECK(site.connections.back().is_loss());
 }
 
@@ -87,8 +87,8 @@
     REQUIRE(site.run_until([&site] {
         return !site.connections.empty();
     }));
-    CHECK(site.connections.back().during == "finishing");
-    CHECK(site.connections.back().by == stream_end::closed);
+    CHECK(site.connections.back().activity == "finishing");
+    CHECK(site.connections.back().end == connection_end::closed);
     CHECK(!site.connections.back().is_loss());
     CHECK(site.reports.back().ended_by.empty());
     CHECK(site.reports.back().since_stop < 0ms);
--- a/tests/proxy/relay_bytes_test.cpp
+++ b/tests/proxy/relay_bytes_test.cpp
@@ -258,13 +258,13 @@
 TEST_CASE("a host refuses what it has no memory for, and has it back later")
 {
     relay_fixture site;
-    site.context.settings.held_bytes = 150'000;
+    site.context.settings.max_buffered_bytes = 150'000;
     site.add("i-1", "ledger", always(sound("done")));
     std::string const half = std::string(90'000, 'x');
     std::string const open = relay_fixture::request("/book/", "a1", "", half);
     auto const slow = site.send(open.substr(0, open.size() - 1));
     REQUIRE(site.run_until([&] {
-        return site.context.held_bytes > 80'000;
+        return site.context.buffered_bytes > 80'000;
     }));
     auto const other =
         site.send(relay_fixture::request("/book/", "a2", "", half));
@@ -279,6 +279,6 @@
     }));
     slow->stream->close();
     CHECK(site.run_until([&] {
-        return site.context.held_bytes == 0;
+        return site.context.buffered_bytes == 0;
     }));
 }
--- a/tests/proxy/relay_close_test.cpp
+++ b/tests/proxy/relay_close_test.cpp
@@ -37,7 +37,7 @@
         return caller.got().find("done") != std::string::npos;
     }));
     CHECK(!closed);
-    served->drop();
+    served->abort();
 }
 
 TEST_CASE("a request that crosses the close of its connection stays unread")
@@ -52,7 +52,7 @@
     REQUIRE(site.run_until([&site] {
         return !site.connections.empty();
     }));
-    CHECK(site.connections.back().by == proxy::stream_end::own_close);
+    CHECK(site.connections.back().end == proxy::connection_end::own_close);
     CHECK(!caller.can_send(relay_fixture::request("/book/")));
 }
 
@@ -190,12 +190,12 @@
     site.run_for(30ms);
     caller.send(text.substr(part));
     std::this_thread::sleep_for(150ms);
-    served->check_times();
+    served->check_timeouts();
     CHECK(site.run_until([&site] {
         return !site.reports.empty();
     }));
     CHECK(site.reports.back().outcome == "served");
-    served->drop();
+    served->abort();
 }
 
 // A busy host tries again for a caller whose close it hasn't read.
--- a/tests/proxy/relay_faults_test.cpp
+++ b/tests/proxy/relay_faults_test.cpp
@@ -86,7 +86,7 @@
         return caller->got.find("seen") != std::string::npos;
     }));
     CHECK(asked == 2);
-    CHECK(site.reports.back().last_try == "broken");
+    CHECK(site.reports.back().last_attempt == "broken");
     CHECK(site.reports.back().sent == 2);
 }
 
@@ -235,8 +235,8 @@
         return !site.reports.empty();
     }));
     CHECK(site.reports[0].outcome == "served");
-    CHECK(site.reports[0].longest_pause >= 120ms);
-    CHECK(site.reports[0].wait >= 0ms);
+    CHECK(site.reports[0].longest_gap >= 120ms);
+    CHECK(site.reports[0].upstream_wait >= 0ms);
     CHECK(!site.reports[0].on_time);
 }
 
--- a/tests/proxy/relay_fixture.cpp
+++ b/tests/proxy/relay_fixture.cpp
@@ -96,20 +96,19 @@
 {
     auto made = std::make_shared<plain_client>();
     auto* const raw = made.get();
-    made->stream =
-        proxy::stream::connect(loop,
-                               {"127.0.0.1", relay.port()},
-                               1'000ms,
-                               {nullptr,
-                                [raw](std::string_view bytes) {
-                                    raw->got.append(bytes);
-                                },
-                                [raw](proxy::stream_end how) {
-                                    raw->closed = true;
-                                    raw->broken =
-                                        how != proxy::stream_end::closed;
-                                },
-                                nullptr});
+    made->stream = proxy::tcp_stream::connect(
+        loop,
+        {"127.0.0.1", relay.port()},
+        1'000ms,
+        {nullptr,
+         [raw](std::string_view bytes) {
+             raw->got.append(bytes);
+         },
+         [raw](proxy::connection_end how) {
+             raw->closed = true;
+             raw->broken = how != proxy::connection_end::closed;
+         },
+         nullptr});
     return made;
 }
 
--- a/tests/proxy/relay_fixture.hpp
+++ b/tests/proxy/relay_fixture.hpp
@@ -18,7 +18,7 @@
 /// A caller's connection that keeps all that it gets.
 struct plain_client
 {
-    std::shared_ptr<proxy::stream> stream;
+    std::shared_ptr<proxy::tcp_stream> stream;
     std::string got;
     bool closed = false;
     bool broken = false;
--- a/tests/proxy/relay_unsent_test.cpp
+++ b/tests/proxy/relay_unsent_test.cpp
@@ -79,13 +79,13 @@
     site.context.table = std::make_shared<routing::route_table const>(lists);
     auto const caller = site.connect();
     site.run_for(20ms);
-    caller->stream->read(false);
+    caller->stream->enable_reading(false);
     caller->stream->write("POST /view/x HTTP/1.1\r\nHost: desk.example\r\n"
                           "Attempt-Id: a1\r\nDeadline-Ms: 9000\r\n"
                           "Authorization: Bearer secret\r\n"
                           "Content-Length: 0\r\n\r\n");
     site.run_for(2'500ms);
-    caller->stream->read(true);
+    caller->stream->enable_reading(true);
     CHECK(site.run_until([&caller] {
         return caller->got.size() > size || caller->closed;
     }));
@@ -143,7 +143,7 @@
     served->serve(ends[0]);
     ask_for_large(site, caller);
     std::weak_ptr<proxy::caller> const weak = served;
-    served->drop();
+    served->abort();
     served.reset();
     site.run_for(20ms);
     CHECK(weak.expired());
--- a/tests/proxy/scripted_upstream.cpp
+++ b/tests/proxy/scripted_upstream.cpp
@@ -79,7 +79,7 @@
                                   [this, weak] {
                                       answer(weak.lock());
                                   }});
-    made->stream = proxy::stream::adopt(
+    made->stream = proxy::tcp_stream::adopt(
         m_loop,
         socket,
         {nullptr,
@@ -89,7 +89,7 @@
                  bytes.remove_prefix(raw->reader->feed(bytes));
              }
          },
-         [this](proxy::stream_end) {
+         [this](proxy::connection_end) {
              ++ended;
          },
          nullptr});
@@ -106,7 +106,7 @@
         write_rest(from, play);
     }
     if (play.closes) {
-        from->stream->finish();
+        from->stream->close_gracefully();
     }
     if (play.resets) {
         from->stream->reset();
--- a/tests/proxy/scripted_upstream.hpp
+++ b/tests/proxy/scripted_upstream.hpp
@@ -2,7 +2,7 @@
 #define CAPERJUNCTION_TESTS_PROXY_SCRIPTED_UPSTREAM_HPP
 
 #include "proxy/http_reader.hpp"
-#include "proxy/stream.hpp"
+#include "proxy/tcp_stream.hpp"
 #include "runtime/event_loop.hpp"
 
 #include <functional>
@@ -60,7 +60,7 @@
 private:
     struct client
     {
-        std::shared_ptr<proxy::stream> stream;
+        std::shared_ptr<proxy::tcp_stream> stream;
         std::unique_ptr<proxy::http_reader> reader;
         received now;
     };
--- a/tests/proxy/store_reader_test.cpp
+++ b/tests/proxy/store_reader_test.cpp
@@ -86,8 +86,8 @@
                       confirmed = as_of;
                       revision = all_up_to;
                   },
-                  [this](proxy::store_loss const& loss) {
-                      told.push_back("lost " + std::string(loss.why));
+                  [this](proxy::store_failure const& loss) {
+                      told.push_back("lost " + std::string(loss.reason));
                   },
                   [this] {
                       told.emplace_back("regained");
@@ -235,7 +235,7 @@
 TEST_CASE("a reader that rests asks only when told to")
 {
     reading site({json(one_item), json(no_events), json(no_events)});
-    site.reader.keep_watching(false);
+    site.reader.set_watching(false);
     REQUIRE(site.run_until_asked(1));
     bool over = false;
     site.loop.after(400ms, [&over] {
@@ -245,7 +245,7 @@
         site.loop.run_once();
     }
     CHECK(site.asked.size() == 1);
-    site.reader.look_once();
+    site.reader.poll_once();
     REQUIRE(site.run_until_asked(2));
     CHECK(site.asked[1].find("wait_ms=1") != std::string::npos);
 }
@@ -257,7 +257,7 @@
 TEST_CASE("a reader that rested goes on from what peers have told")
 {
     reading site({json(one_item), json(no_events), json(no_events)});
-    site.reader.keep_watching(false);
+    site.reader.set_watching(false);
     REQUIRE(site.run_until_asked(1));
     bool over = false;
     site.loop.after(100ms, [&over] {
@@ -268,7 +268,7 @@
     }
     site.reader.skip_to(31);
     site.reader.skip_to(20);
-    site.reader.look_once();
+    site.reader.poll_once();
     REQUIRE(site.run_until_asked(2));
     CHECK(site.asked[1].find("after=31&") != std::string::npos);
 }
@@ -285,14 +285,14 @@
             answers.emplace_back("reset");
         }
         reading site(answers);
-        site.reader.keep_watching(watches);
+        site.reader.set_watching(watches);
         REQUIRE(site.run_until_asked(1));
         bool over = false;
         site.loop.after(outage, [&over] {
             over = true;
         });
         site.loop.after(50ms, [&site] {
-            site.reader.look_once();
+            site.reader.poll_once();
         });
         while (!over) {
             site.loop.run_once();
