--- a/src/decide/broken_attempt.hpp
+++ b/src/decide/broken_attempt.hpp
@@ -9,15 +9,15 @@
 
 namespace caperjunction::decide {
 
-/// An attempt that broke. Whether its engine crashed, or only the connection
-/// broke, is often known a little later.
+/// An attempt whose connection broke. Whether the engine crashed or only the
+/// connection failed is often known only a little later.
 struct broken_attempt
 {
     model::request_id id;
     std::uint64_t fingerprint = 0;
     index engine = no_index;
     model::time_point at{};
-    /// It broke before its first token.
+    /// The attempt broke before its first token.
     bool is_early = false;
 };
 
--- a/src/decide/class_rules.hpp
+++ b/src/decide/class_rules.hpp
@@ -8,10 +8,10 @@
 
 namespace caperjunction::decide {
 
-/// What the lists say of one service class, with its tier as a number.
+/// Settings of one service class from the lists, with its tier as a number.
 struct class_rules
 {
-    /// Place of its tier; 0 is the highest.
+    /// Rank of the tier; 0 is the highest.
     index tier = 0;
     model::milliseconds first_token_target{490};
     model::milliseconds inter_token_target{42};
--- a/src/decide/core.cpp
+++ b/src/decide/core.cpp
@@ -6,10 +6,9 @@
 
 namespace {
 
-// 2.5 MB; a block of today's prompts for each engine many times over.
+// 2.5 MB; holds the blocks of typical prompts for each engine many times over.
 constexpr std::size_t prefix_sets = 16'384;
-// Requests looked at in one tick, so that no tick takes long: a burst of
-// expiries is spread over the ticks that follow.
+// Limits the work of one tick; a burst of expiries is spread over several.
 constexpr std::size_t max_expiries_per_tick = 256;
 constexpr model::milliseconds periodic_work_interval{1000};
 
@@ -52,8 +51,8 @@
     if (!m_policy.apply(input.catalogue)) {
         return;
     }
-    // Tiers or classes moved: what waits is sorted anew, under the new rules
-    // and in the order it came.
+    // Tiers or classes changed: queued requests are sorted again under the new
+    // rules, in arrival order.
     std::vector<entry*> waiting;
     for (model_group& group : m_engines.groups()) {
         for (index tier = 0; tier < group.queue.tiers(); ++tier) {
--- a/src/decide/core.hpp
+++ b/src/decide/core.hpp
@@ -30,8 +30,8 @@
 
 namespace caperjunction::decide {
 
-/// The parts of the decision logic joined: each event changes them, and the
-/// decisions that follow are appended to `m_out`.
+/// Implementation of `router`: each event updates the components, and the
+/// resulting decisions are appended to `m_out`.
 ///
 /// Split over several files: core.cpp (events), core_admit.cpp,
 /// core_refuse.cpp, core_place.cpp, core_attempt.cpp, core_engine.cpp,
@@ -123,10 +123,10 @@
     model::milliseconds min_inter_token_target(index group) const;
 
     // Peers.
-    void add_peer_load(peer const& source, int sign);
+    void add_peer_load(peer const& sender, int sign);
     void remove_peer(peer& removed);
-    void update_position(peer const& source, int sign);
-    void charge_remote_tokens(peer const& source);
+    void update_position(peer const& sender, int sign);
+    void charge_remote_tokens(peer const& sender);
     void poll_peers();
     index team_index(std::string const& customer,
                      std::string const& team,
@@ -150,13 +150,13 @@
     model_shifter m_shifter;
     std::unordered_map<model::request_id, entry> m_entries;
     std::set<expiry> m_expiries;
-    /// Suspects that wait for an engine without another one.
+    /// Suspects waiting for an engine that runs no other suspect.
     std::vector<model::request_id> m_queued_suspects;
     std::vector<retry_budget> m_retries;
     std::vector<model::time_point> m_class_last_seen;
     name_table m_team_names;
     std::vector<team_state> m_teams;
-    /// Tokens that each team has got on other hosts, by their digests.
+    /// Tokens served to each team on other hosts, from their digests.
     std::vector<double> m_remote_tokens;
     std::unordered_map<std::uint32_t, index> m_team_hashes;
     name_table m_peer_names;
@@ -165,7 +165,7 @@
     std::size_t m_next_polled_engine = 0;
     std::size_t m_next_polled_peer = 0;
     model::time_point m_periodic_work_done{};
-    /// Broken attempts not long ago, in case their engine proves lost.
+    /// Recently broken attempts, kept in case their engine is reported lost.
     std::vector<broken_attempt> m_broken_attempts;
 };
 
--- a/src/decide/core_admit.cpp
+++ b/src/decide/core_admit.cpp
@@ -10,7 +10,8 @@
 constexpr char const* retry_remedy =
     "send it again after the time in Retry-After";
 
-/// Whether a host with this load has room to spare for the tier.
+/// Whether a host with this load can accept the tier: for this model it queues
+/// lower tiers and has refused neither this tier nor a higher one.
 bool has_spare_capacity(digest const& load, std::uint32_t model, index tier)
 {
     bool has_lower_tier = false;
@@ -89,7 +90,7 @@
     m_class_last_seen[added.class_id] = m_now;
     class_rules const& rules = m_policy.rules(added.class_id);
     added.tier = rules.tier;
-    // One that another host hands over has waited there already.
+    // A request handed over by another host has already waited there.
     bool const has_waited = arriving.handed_over && arriving.arrived < m_now
                             && m_now - arriving.arrived < rules.max_wait;
     model::time_point const since = has_waited ? arriving.arrived : m_now;
@@ -131,8 +132,9 @@
 
 bool core::refuse_over_limit(entry& waiting)
 {
-    // One team over its plan must not use what others have paid for; it is
-    // told so at once, since waiting here would not make it fit.
+    // A team over its limits must not use the capacity that other teams pay
+    // for. It is refused at once, since waiting does not bring it within
+    // limits.
     team_state const& team = m_teams[waiting.team];
     auto const wait = team.limiter.delay_until_allowed(team.limits, m_now);
     if (wait.count() == 0 || waiting.from_peer) {
@@ -148,10 +150,10 @@
 
 bool core::refuse_early(entry& waiting)
 {
-    // Made for saturation: a queue that is longer than the longest wait only
-    // makes callers wait for a refusal. Said at once, it costs them nothing,
-    // and the time to come back is the best that is known.
-    // Under lasting overload the same holds of a wait beyond the target.
+    // Under saturation, a queue longer than the maximum wait only makes callers
+    // wait for a refusal. An immediate refusal avoids that wait and carries the
+    // best known retry delay. Under lasting overload this also applies to a
+    // wait beyond the first-token target.
     model::milliseconds const wait = expected_wait(waiting);
     class_rules const& rules = m_policy.rules(waiting.class_id);
     bool const is_overloaded = gate(waiting).is_closed(m_now);
@@ -173,10 +175,9 @@
 
 bool core::try_hand_over(entry& waiting, std::string const& reason)
 {
-    // A higher tier must not be refused here while another host still queues
-    // lower work for the same model and refuses nothing. One hop only, so
-    // that it can't circle; from different peers on, so that a burst of them
-    // doesn't fall on one.
+    // A higher tier must not be refused here while another host queues lower
+    // tiers of the same model and refuses none. At most one hop, to prevent
+    // loops. Each request starts with a different peer, to spread a burst.
     if (waiting.from_peer || waiting.attempt > 0) {
         return false;
     }
@@ -190,8 +191,8 @@
         }
         m_out->emplace_back(hand_over{waiting.id, target.name, reason});
         waiting.phase = phase::handed_over;
-        // The other host's refusal must find it: by then its longest wait is
-        // over there as well.
+        // The entry must outlive a refusal by the other host, where the request
+        // waits at most the maximum wait as well.
         waiting.expires = m_now + 2 * m_policy.rules(waiting.class_id).max_wait;
         m_expiries.emplace(waiting.expires, waiting.id);
         return true;
--- a/src/decide/core_attempt.cpp
+++ b/src/decide/core_attempt.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-// Attempts of one request. Beyond these, what fails is most likely the
-// request or the whole fleet, and a further try only adds load.
+// Attempts of one request. Beyond this number the cause is most likely the
+// request or the whole fleet, and retries only add load.
 constexpr std::uint32_t max_broken_attempts = 5;
-// Those that were not run cost nobody anything but time.
+// Includes attempts that were not run, which cost only time.
 constexpr std::uint32_t max_attempts = 12;
-// Broken attempts remembered until it shows whether the engine was lost.
+// Broken attempts kept until it is known whether the engine was lost.
 constexpr std::size_t max_broken_records = 512;
-// An answer beyond its expected length is expected to be longer yet by this
-// part, so that it isn't charged anew with each token.
+// An answer beyond its expected length is expected to grow by this fraction, so
+// that it is not charged again for each token.
 constexpr std::uint32_t overrun_divisor = 4;
 
 } // namespace
@@ -28,12 +28,12 @@
         return;
     }
     if (running->is_service) {
-        running->relayed_tokens += input.tokens;
+        running->relayed += input.tokens;
         return;
     }
     memory_forecast& forecast = m_engines.groups()[running->group].kv_forecast;
     forecast.remove(*running);
-    running->relayed_tokens += input.tokens;
+    running->relayed += input.tokens;
     running->attempt_tokens += input.tokens;
     charge_overrun(*running);
     forecast.add(*running);
@@ -49,9 +49,9 @@
         check_engine_health(running->upstream);
     }
     running->last_token = m_now;
-    index const upstream_index = running->upstream;
-    m_engines.refresh(upstream_index, m_now);
-    dispatch_for_engine(upstream_index);
+    index const upstream = running->upstream;
+    m_engines.refresh(upstream, m_now);
+    dispatch_for_engine(upstream);
 }
 
 void core::on(attempt_ended const& input)
@@ -60,33 +60,32 @@
     if (running == nullptr || running->phase != phase::running) {
         return;
     }
-    index const upstream_index = running->upstream;
+    index const upstream = running->upstream;
     bool const is_service = running->is_service;
-    std::string const& name = is_service ? m_services.name(upstream_index)
-                                         : m_engines.at(upstream_index).name;
+    std::string const& name =
+        is_service ? m_services.name(upstream) : m_engines.at(upstream).name;
     if (name != input.upstream) {
         return;
     }
     release(*running);
-    running->relayed_tokens =
-        std::max(running->relayed_tokens, input.relayed_tokens);
+    running->relayed = std::max(running->relayed, input.relayed_tokens);
     switch (input.end) {
     case attempt_end::complete:
         end_complete(*running, input);
         break;
     case attempt_end::unreachable:
         if (!is_service) {
-            // Nobody may have been there to tell that the engine went away;
-            // without this each retry finds it the emptiest of all.
-            mark_lost(upstream_index);
+            // No other attempt may be in flight to report that the engine is
+            // gone. Without this, it looks the least loaded to each retry.
+            mark_lost(upstream);
         }
-        end_not_run(*running, upstream_index);
+        end_not_run(*running, upstream);
         break;
     case attempt_end::refused:
-        end_not_run(*running, upstream_index);
+        end_not_run(*running, upstream);
         break;
     case attempt_end::broken:
-        end_broken(*running, upstream_index);
+        end_broken(*running, upstream);
         break;
     case attempt_end::failed:
         running->may_have_run = true;
@@ -101,7 +100,7 @@
         break;
     }
     if (!is_service) {
-        dispatch_for_engine(upstream_index);
+        dispatch_for_engine(upstream);
     }
 }
 
@@ -121,18 +120,17 @@
         finish(*cancelled);
         return;
     }
-    // Nobody reads the answer any more: each further token would be waste.
-    index const upstream_index = cancelled->upstream;
+    // Further tokens would be wasted: the caller is gone.
+    index const upstream = cancelled->upstream;
     bool const is_service = cancelled->is_service;
     m_out->emplace_back(cancel_attempt{cancelled->id,
-                                       is_service
-                                           ? m_services.name(upstream_index)
-                                           : m_engines.at(upstream_index).name,
+                                       is_service ? m_services.name(upstream)
+                                                  : m_engines.at(upstream).name,
                                        "caller_left"});
     release(*cancelled);
     finish(*cancelled);
     if (!is_service) {
-        dispatch_for_engine(upstream_index);
+        dispatch_for_engine(upstream);
     }
 }
 
@@ -158,9 +156,9 @@
 
 void core::charge_overrun(entry& running)
 {
-    // Charged as the tokens come: otherwise a team whose answers turn out
-    // long would get them at a short one's price until each has ended.
-    if (running.relayed_tokens > running.expected_output) {
+    // Charged while tokens arrive. Otherwise a team with unexpectedly long
+    // answers pays the price of short ones until they end.
+    if (running.relayed > running.expected_output) {
         if (!running.overran) {
             running.overran = true;
             m_lengths.record_overrun(
@@ -168,9 +166,8 @@
                 running.expected_output,
                 m_policy.rules(running.class_id).max_output_tokens);
         }
-        set_expected_output(running,
-                            running.relayed_tokens
-                                + running.relayed_tokens / overrun_divisor);
+        set_expected_output(
+            running, running.relayed + running.relayed / overrun_divisor);
     }
 }
 
@@ -194,18 +191,18 @@
                 computed, running.first_token - running.dispatched);
         }
         if (!running.prefix_blocks.empty() && running.attempt == 1) {
-            // What the engine found in its cache tells how far the index can
-            // be trusted with this engine.
+            // The cached tokens of an answer measure how accurate the index is
+            // for this engine.
             double const found = input.cached_tokens > 0 ? 1.0 : 0.5;
             engine.cache_trust += (found - engine.cache_trust) * 0.05;
         }
         if (!running.overran) {
             m_lengths.record_completed(
                 running.class_id,
-                running.relayed_tokens,
+                running.relayed,
                 m_policy.rules(running.class_id).max_output_tokens);
         }
-        set_expected_output(running, running.relayed_tokens);
+        set_expected_output(running, running.relayed);
     }
     if (running.suspect) {
         m_quarantine.clear(running.fingerprint);
@@ -215,9 +212,9 @@
 
 void core::end_not_run(entry& running, index upstream)
 {
-    // No byte was handed over, or the upstream said that it won't run it:
-    // the only ends after which also work that may run once can go on. A
-    // service call still gets one attempt only, since its claim is spent.
+    // No byte was sent, or the upstream refused to run it. Only after these
+    // ends may a non-repeatable request be sent again. A service call still
+    // gets only one attempt, since its claim is spent.
     if (running.is_service && !running.repeatable) {
         refuse_request(running,
                        model::error_kind::unavailable,
@@ -237,7 +234,7 @@
                                  m_now,
                                  running.attempt_tokens == 0};
     if (running.evidence != crash_evidence::none) {
-        // Its engine was reported lost before its own end came.
+        // The engine was reported lost before this attempt ended.
         running.phase = phase::ended;
         record_suspect(attempt, running.evidence);
         running.suspect = m_quarantine.is_suspect(running.fingerprint);
@@ -258,7 +255,7 @@
     }
     if (!running.repeatable) {
         // It may have run. A second run could charge a client twice, so the
-        // caller is told that nobody knows.
+        // caller is told that the outcome is unknown.
         refuse_request(running,
                        model::error_kind::upstream_failed,
                        model::milliseconds{1000},
@@ -292,8 +289,8 @@
         return;
     }
     class_rules const& rules = m_policy.rules(waiting.class_id);
-    // Its caller has waited already and may hold a part of the answer: it
-    // keeps its place in the order and gets the longest wait anew.
+    // The caller has already waited and may hold part of the answer: the
+    // request keeps its deadline order and gets the full maximum wait again.
     waiting.expires = m_now + rules.max_wait;
     enqueue(waiting);
     index const group = waiting.group;
--- a/src/decide/core_engine.cpp
+++ b/src/decide/core_engine.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-// Engines sorted anew in one tick: all of today's; at 10,000 each comes round
-// within seconds, and its own events sort it in between.
+// Engines refreshed in one tick: all engines of a fleet of up to 32. With
+// 10,000 engines each is refreshed within seconds, and earlier by its own
+// events.
 constexpr std::size_t engines_per_tick = 32;
-// A process that went away takes seconds to come back; trying sooner only
-// costs requests.
+// A lost process needs seconds to restart; probing earlier only costs requests.
 constexpr model::milliseconds initial_lost_penalty{2000};
 constexpr model::milliseconds max_lost_penalty{30'000};
-// Good answers after which an engine on probation is taken back.
+// Successful answers after which a probed engine is readmitted.
 constexpr std::uint32_t min_good_probes = 3;
-// An attempt that broke this long ago belongs to the same crash.
+// An attempt that broke within this time belongs to the same crash.
 constexpr model::milliseconds crash_window{3000};
-// A class that has been quiet for this long no longer bounds the batches.
+// A class without requests for this long no longer limits the batches.
 constexpr model::milliseconds class_idle_timeout{30'000};
 constexpr double trust_factor_after_gap = 0.6;
 
@@ -55,7 +55,7 @@
         return;
     }
     engine_state& engine = m_engines.at(engine_index);
-    // Lost events mean blocks that came or went unseen.
+    // Lost events mean that blocks were added or evicted unnoticed.
     if (engine.cache_sequence != 0
         && input.sequence != engine.cache_sequence + 1) {
         engine.cache_trust *= trust_factor_after_gap;
@@ -94,21 +94,22 @@
         m_out->emplace_back(
             eject_engine{engine.name, engine.probe_at, "engine_lost"});
     }
-    // Its cache went with its memory.
+    // The prefix cache is lost with the process.
     engine.cache_trust = 0.0;
     m_engines.refresh(engine_index, m_now);
 }
 
 void core::attribute_crash(index engine_index)
 {
-    // The cause most often strikes before its first token. Those that were
-    // streaming are blamed less, and only if none here had just started: most
-    // are innocent, and suspects wait for engines of their own. What is still
-    // in flight is blamed once its own end says that it broke; if it turns out
-    // to have found the engine gone, it had no part in this.
+    // The cause of a crash usually strikes before its first token. Requests
+    // that were streaming get weak evidence, and only if no request here had
+    // just started: most are innocent, and each suspect needs an engine without
+    // other suspects. For a request still in flight, the evidence counts once
+    // its attempt ends as broken; if the attempt only found the engine gone,
+    // the request had no part in the crash.
     engine_state const& engine = m_engines.at(engine_index);
     std::vector<broken_attempt> const broken = extract_broken(engine_index);
-    std::size_t involved = broken.size();
+    std::size_t involved_count = broken.size();
     bool any_early =
         std::any_of(broken.begin(), broken.end(), [](auto& attempt) {
             return attempt.is_early;
@@ -116,11 +117,11 @@
     for (model::request_id const id : engine.in_flight) {
         entry const* const running = find(id);
         if (running != nullptr) {
-            ++involved;
+            ++involved_count;
             any_early = any_early || running->attempt_tokens == 0;
         }
     }
-    bool const is_alone = involved == 1 && engine.peer_requests == 0;
+    bool const is_alone = involved_count == 1 && engine.peer_requests == 0;
     for (model::request_id const id : engine.in_flight) {
         entry* const running = find(id);
         if (running != nullptr) {
@@ -179,7 +180,7 @@
             enqueue(*waiting);
         }
     } else if (waiting->phase == phase::running && !waiting->suspect) {
-        // Already sent on, before its engine was known to be lost.
+        // Already dispatched again before its engine was known to be lost.
         waiting->suspect = true;
         ++m_engines.at(waiting->upstream).suspects;
     }
--- a/src/decide/core_peer.cpp
+++ b/src/decide/core_peer.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Digests come several times a second; a host silent for this long is gone
-// or cut off, and what it had can't be relied on either way.
+// Digests arrive several times per second. A host silent for this long is gone
+// or disconnected, and its last load is unreliable in both cases.
 constexpr model::milliseconds digest_lifetime{3000};
 constexpr std::size_t peers_per_tick = 8;
 constexpr double prefill_unit = 16.0;
@@ -90,9 +90,9 @@
                    "send it again after the time in Retry-After");
 }
 
-void core::add_peer_load(peer const& source, int sign)
+void core::add_peer_load(peer const& sender, int sign)
 {
-    for (engine_load const& item : source.load.engines) {
+    for (engine_load const& item : sender.load.engines) {
         index const engine = m_engines.find_hash(item.engine_hash);
         if (engine != no_index) {
             add(m_engines.at(engine).peer_requests, item.in_flight, sign);
@@ -100,7 +100,7 @@
                 sign * prefill_unit * item.prefill, m_now);
         }
     }
-    for (queue_load const& item : source.load.queues) {
+    for (queue_load const& item : sender.load.queues) {
         index const group = m_engines.find_model_hash(item.model_hash);
         if (group != no_index && item.tier < m_policy.tiers()) {
             auto& queued = m_engines.groups()[group].peer_queued;
@@ -111,13 +111,13 @@
             add(refused[item.tier], item.refused, sign);
         }
     }
-    for (suspect_load const& item : source.load.suspects) {
+    for (suspect_load const& item : sender.load.suspects) {
         index const engine = m_engines.find_hash(item.engine_hash);
         if (engine != no_index && item.engine_hash != 0) {
             add(m_engines.at(engine).peer_suspects, 1, sign);
         }
     }
-    for (team_load const& item : source.load.teams) {
+    for (team_load const& item : sender.load.teams) {
         auto const found = m_team_hashes.find(item.team_hash);
         if (found == m_team_hashes.end()) {
             continue;
@@ -145,10 +145,10 @@
     update_position(removed, -1);
 }
 
-void core::charge_remote_tokens(peer const& source)
+void core::charge_remote_tokens(peer const& sender)
 {
-    model::seconds const elapsed = m_now - source.received_at;
-    for (team_load const& item : source.load.teams) {
+    model::seconds const elapsed = m_now - sender.received_at;
+    for (team_load const& item : sender.load.teams) {
         auto const found = m_team_hashes.find(item.team_hash);
         if (found != m_team_hashes.end()) {
             m_remote_tokens[found->second] +=
@@ -157,13 +157,13 @@
     }
 }
 
-void core::update_position(peer const& source, int sign)
+void core::update_position(peer const& sender, int sign)
 {
     auto const delta = static_cast<std::uint32_t>(sign);
     m_position.hosts += delta;
-    if (source.load.region_hash == name_hash(m_settings.region)) {
+    if (sender.load.region_hash == name_hash(m_settings.region)) {
         m_position.in_region += delta;
-        m_position.rank += source.name < m_settings.host ? delta : 0U;
+        m_position.rank += sender.name < m_settings.host ? delta : 0U;
     }
 }
 
@@ -253,8 +253,8 @@
 void core::add_suspects(digest& load) const
 {
     for (auto const& record : m_quarantine.records()) {
-        // Only what this host has seen itself: were hosts to pass on what
-        // they heard, they would keep each other's suspicions up for ever.
+        // Only crashes seen by this host. If hosts forwarded what they
+        // received, they would keep each other's suspicions alive forever.
         if (record.second.last_engine == no_index) {
             continue;
         }
--- a/src/decide/core_place.cpp
+++ b/src/decide/core_place.cpp
@@ -7,20 +7,21 @@
 
 namespace {
 
-// Dispatches for one event: one event frees little room, and the rest is
-// found by the next.
+// Maximum dispatches per event. One event frees little capacity; later events
+// dispatch the rest.
 constexpr std::size_t max_dispatches_per_event = 32;
 constexpr std::size_t suspects_per_tick = 16;
 constexpr std::size_t max_shed_per_tick = 64;
-// Less than the time in which a digest has come round.
+// Shorter than the time that digests take to reach all hosts.
 constexpr model::milliseconds lower_tier_max_wait{300};
 
 } // namespace
 
 void core::dispatch_queued(index group_index)
 {
-    // Late binding: what has no room stays here, where it can still be put
-    // behind a higher tier; it starts when an engine's bound allows.
+    // Late binding: requests without capacity stay in this queue, where higher
+    // tiers can still pass them, until an engine's concurrency limit allows
+    // them.
     for (std::size_t dispatched = 0; dispatched < max_dispatches_per_event;
          ++dispatched) {
         if (!dispatch_next(group_index)) {
@@ -66,7 +67,7 @@
             dequeue(*request);
             refuse_quarantined(*request);
         } else if (!m_quarantine.is_suspect(request->fingerprint)) {
-            // Another run of it ended well.
+            // Another run of this fingerprint ended well.
             dequeue(*request);
             request->suspect = false;
             enqueue(*request);
@@ -92,9 +93,9 @@
             entry& oldest = *arrivals.front();
             bool const is_late = misses_deadline(oldest);
             gate(oldest).observe(is_late, m_now);
-            // While a higher tier is refused anywhere, lower work doesn't pile
-            // up in the places that it could have had: it starts within its
-            // share at once, or is told to come back.
+            // While a higher tier is refused on any host, lower tiers must not
+            // occupy the queue places that it could have had. Lower requests
+            // are dispatched immediately within their share, or refused.
             bool const blocks_higher_tier =
                 oldest.attempt == 0 && !group.queue.is_below_share(oldest)
                 && m_now - oldest.queued_at > lower_tier_max_wait
@@ -110,8 +111,8 @@
 
 bool core::is_higher_tier_queued(entry const& waiting) const
 {
-    // A suspect stands outside the queue; unless it had been running, that
-    // must not bring it ahead of a higher tier.
+    // A suspect is outside the queue. It must not pass a higher tier this way,
+    // unless it had already been running.
     fair_queue const& queue = m_engines.groups()[waiting.group].queue;
     for (index tier = 0; tier < waiting.tier; ++tier) {
         if (waiting.attempt == 0 && queue.size(tier) > 0) {
@@ -123,9 +124,9 @@
 
 bool core::must_yield(entry const& waiting) const
 {
-    // The engines are shared: room that this host sees may be what a higher
-    // tier on another host waits for. It goes first there, unless this tier
-    // has earned its guaranteed share.
+    // Engines are shared between hosts: capacity visible here may be what a
+    // higher tier on another host waits for. The higher tier goes first, unless
+    // this tier is below its guaranteed share.
     model_group const& group = m_engines.groups()[waiting.group];
     if (group.queue.is_below_share(waiting)) {
         return false;
@@ -211,7 +212,7 @@
     m_out->emplace_back(dispatch{waiting.id,
                                  upstream,
                                  waiting.tier,
-                                 waiting.relayed_tokens,
+                                 waiting.relayed,
                                  waiting.attempt,
                                  std::move(chosen.candidates),
                                  std::move(reason)});
--- a/src/decide/core_refuse.cpp
+++ b/src/decide/core_refuse.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-// A refusal's Retry-After: not so short that resends add to the burst that
-// caused it, not so long that a desk gives up the sale.
+// Bounds of a refusal's Retry-After. A shorter delay lets resends add to the
+// burst that caused the refusal; a longer one makes callers give up.
 constexpr model::milliseconds min_retry_after{250};
 constexpr model::milliseconds max_retry_after{600'000};
-// Overload that has lasted longer is not foretold further than this.
+// Upper bound for a delay that is predicted from the length of overload.
 constexpr model::milliseconds max_forecast{300'000};
-// A tier counts as being refused while more than a stray one is.
+// A tier counts as refused above this rate, so that a single refusal does not
+// count.
 constexpr model::milliseconds refusal_horizon{2000};
 constexpr double min_refusal_rate = 0.1;
 constexpr char const* retry_remedy =
@@ -37,7 +38,7 @@
 
 bool core::misses_deadline(entry const& waiting) const
 {
-    // What has been handed to an engine before is owed its end.
+    // A request that an engine has already started must be completed.
     if (waiting.attempt > 0) {
         return false;
     }
@@ -65,10 +66,11 @@
 
 model::milliseconds core::retry_delay(entry const& waiting)
 {
-    // Nobody knows when overload ends. If spells of all lengths are alike, one
-    // that has lasted for a time is over within twice that time in two cases
-    // out of three. An earlier resend would most likely be refused once more,
-    // or take the place of a fresh request that can still be in time.
+    // The end of an overload cannot be known. If periods of all lengths are
+    // equally likely, one that has lasted for some time ends within twice that
+    // time in two cases out of three. An earlier resend would most likely be
+    // refused again, or take the place of a new request that can still meet its
+    // target.
     auto const expected_remaining = 2 * gate(waiting).closed_for(m_now);
     return std::min(max_forecast,
                     std::max(expected_wait(waiting), expected_remaining));
@@ -76,8 +78,8 @@
 
 void core::refuse_late(entry& waiting)
 {
-    // Given up on, so it is told at once; waiting on would only keep its
-    // caller from coming back when there is room.
+    // The request misses its target and is refused at once. Further waiting
+    // would only keep the caller from retrying when there is capacity.
     dequeue(waiting);
     if (try_hand_over(waiting, "late_here")) {
         return;
@@ -91,8 +93,8 @@
 
 void core::evict_if_full(entry const& arriving)
 {
-    // Made for a flood: memory is bounded, and what has to go is the lowest
-    // tier's newest, which has waited least and was promised least.
+    // Memory is bounded. When the queues are full, the newest request of the
+    // lowest tier is evicted: it has waited least and has the weakest target.
     std::size_t total = 0;
     for (model_group const& group : m_engines.groups()) {
         total += group.queue.size();
--- a/src/decide/crash_evidence.hpp
+++ b/src/decide/crash_evidence.hpp
@@ -5,13 +5,14 @@
 
 namespace caperjunction::decide {
 
-/// How much a crash speaks against a request that was in flight there.
+/// Evidence that a request caused the engine crash during which it was in
+/// flight.
 enum class crash_evidence : std::uint8_t
 {
     none,
-    /// It had been streaming for a while, and so had all others.
+    /// The request had been streaming, and so had all others on the engine.
     weak,
-    /// It had just started, or was the only one that can have caused it.
+    /// The request had produced no token, or is the only possible cause.
     strong,
 };
 
--- a/src/decide/decaying_rate.hpp
+++ b/src/decide/decaying_rate.hpp
@@ -8,7 +8,7 @@
 
 namespace caperjunction::decide {
 
-/// Events per second over about the last `horizon`, older ones fading out.
+/// Exponentially decaying event rate per second with time constant `horizon`.
 ///
 /// Thread safety: none; owned by one task.
 class decaying_rate
@@ -21,17 +21,17 @@
 
     void add(double amount, model::time_point now)
     {
-        m_sum = faded(now) + amount;
+        m_sum = decayed_sum(now) + amount;
         m_updated = std::max(m_updated, now);
     }
 
     double per_second(model::time_point now) const
     {
-        return faded(now) / m_horizon;
+        return decayed_sum(now) / m_horizon;
     }
 
 private:
-    double faded(model::time_point now) const
+    double decayed_sum(model::time_point now) const
     {
         if (now <= m_updated) {
             return m_sum;
--- a/src/decide/decision.hpp
+++ b/src/decide/decision.hpp
@@ -13,22 +13,23 @@
 
 namespace caperjunction::decide {
 
-/// One upstream that was weighed, for the log and `explain`.
+/// An upstream considered for a request, for the log and `explain`.
 struct candidate
 {
     std::string upstream;
-    /// Predicted time to the first token (or first byte of a service).
+    /// Predicted time to the first token, or to the first byte of a service.
     model::milliseconds predicted{0};
 };
 
-/// Send the request to this upstream now.
+/// Sends the request to this upstream now.
 struct dispatch
 {
     model::request_id id;
     std::string upstream;
-    /// Passed on to the engine; a lower number goes first.
+    /// Passed on to the engine; lower numbers are scheduled first.
     std::uint32_t priority = 0;
-    /// Output tokens that the caller has already; the engine goes on after.
+    /// Output tokens that the caller already has; the engine resumes after
+    /// them.
     std::uint32_t resume_offset = 0;
     /// 1 for the first attempt.
     std::uint32_t attempt = 1;
@@ -36,7 +37,7 @@
     std::string reason;
 };
 
-/// Hold the request here until capacity is free.
+/// Holds the request on this host until capacity is free.
 struct queued
 {
     model::request_id id;
@@ -44,20 +45,20 @@
     std::string reason;
 };
 
-/// Answer the caller that the request won't be served now.
+/// Tells the caller that the request is not served now.
 struct refuse
 {
     model::request_id id;
     model::error_kind kind = model::error_kind::refused;
-    /// `not_run` unless an attempt had been handed to an upstream.
+    /// `not_run` unless an attempt was handed to an upstream.
     model::outcome outcome = model::outcome::not_run;
-    /// When a resend has a fair chance, by what is known now.
+    /// Delay after which a resend is likely to be accepted.
     model::milliseconds retry_after{0};
     std::string reason;
     std::string remedy;
 };
 
-/// End the attempt at this upstream; its answer is of no use any more.
+/// Ends the attempt at this upstream; its answer is no longer needed.
 struct cancel_attempt
 {
     model::request_id id;
@@ -65,7 +66,7 @@
     std::string reason;
 };
 
-/// Let another host serve the request (one hop at most).
+/// Passes the request to another host, at most one hop.
 struct hand_over
 {
     model::request_id id;
@@ -73,7 +74,7 @@
     std::string reason;
 };
 
-/// Send no new work to this engine until `until`.
+/// Sends no new requests to this engine until `until`.
 struct eject_engine
 {
     std::string engine;
@@ -87,7 +88,7 @@
     std::string reason;
 };
 
-/// Refuse every request with this fingerprint until `until`, on all hosts.
+/// Refuses all requests with this fingerprint until `until`, on all hosts.
 struct quarantine_request
 {
     std::uint64_t fingerprint = 0;
@@ -95,8 +96,8 @@
     std::string reason;
 };
 
-/// Wish that an engine serve this model; the fleet's one orderer for that
-/// engine turns it into a fenced order.
+/// Requests that an engine load this model. The one host of the fleet that
+/// orders for the engine turns the request into a fenced order.
 struct shift_model
 {
     std::string engine;
@@ -104,7 +105,7 @@
     std::string reason;
 };
 
-/// Everything that the decision logic can ask for.
+/// All outputs of the decision logic.
 using decision = std::variant<dispatch,
                               queued,
                               refuse,
--- a/src/decide/decision_text.cpp
+++ b/src/decide/decision_text.cpp
@@ -14,82 +14,76 @@
     return pair(key, std::to_string(value));
 }
 
-std::string text(dispatch const& decision_made)
+std::string text(dispatch const& value)
 {
-    std::string line = "dispatch" + pair("id", decision_made.id.value)
-                       + pair("upstream", decision_made.upstream)
-                       + pair("priority", decision_made.priority)
-                       + pair("offset", decision_made.resume_offset)
-                       + pair("attempt", decision_made.attempt);
-    return line + pair("reason", decision_made.reason);
+    std::string line =
+        "dispatch" + pair("id", value.id.value)
+        + pair("upstream", value.upstream) + pair("priority", value.priority)
+        + pair("offset", value.resume_offset) + pair("attempt", value.attempt);
+    return line + pair("reason", value.reason);
 }
 
-std::string text(queued const& decision_made)
+std::string text(queued const& value)
 {
-    return "queued" + pair("id", decision_made.id.value)
-           + pair("position", decision_made.position)
-           + pair("reason", decision_made.reason);
+    return "queued" + pair("id", value.id.value)
+           + pair("position", value.position) + pair("reason", value.reason);
 }
 
-std::string text(refuse const& decision_made)
+std::string text(refuse const& value)
 {
-    return "refuse" + pair("id", decision_made.id.value)
-           + pair("kind", std::string(model::to_string(decision_made.kind)))
-           + pair("outcome",
-                  std::string(model::to_string(decision_made.outcome)))
+    return "refuse" + pair("id", value.id.value)
+           + pair("kind", std::string(model::to_string(value.kind)))
+           + pair("outcome", std::string(model::to_string(value.outcome)))
            + pair("retry_after_ms",
-                  static_cast<std::uint64_t>(decision_made.retry_after.count()))
-           + pair("reason", decision_made.reason);
+                  static_cast<std::uint64_t>(value.retry_after.count()))
+           + pair("reason", value.reason);
 }
 
-std::string text(cancel_attempt const& decision_made)
+std::string text(cancel_attempt const& value)
 {
-    return "cancel_attempt" + pair("id", decision_made.id.value)
-           + pair("upstream", decision_made.upstream)
-           + pair("reason", decision_made.reason);
+    return "cancel_attempt" + pair("id", value.id.value)
+           + pair("upstream", value.upstream) + pair("reason", value.reason);
 }
 
-std::string text(hand_over const& decision_made)
+std::string text(hand_over const& value)
 {
-    return "hand_over" + pair("id", decision_made.id.value)
-           + pair("host", decision_made.host)
-           + pair("reason", decision_made.reason);
+    return "hand_over" + pair("id", value.id.value) + pair("host", value.host)
+           + pair("reason", value.reason);
 }
 
-std::string text(eject_engine const& decision_made)
+std::string text(eject_engine const& value)
 {
-    return "eject_engine" + pair("engine", decision_made.engine)
-           + pair("reason", decision_made.reason);
+    return "eject_engine" + pair("engine", value.engine)
+           + pair("reason", value.reason);
 }
 
-std::string text(readmit_engine const& decision_made)
+std::string text(readmit_engine const& value)
 {
-    return "readmit_engine" + pair("engine", decision_made.engine)
-           + pair("reason", decision_made.reason);
+    return "readmit_engine" + pair("engine", value.engine)
+           + pair("reason", value.reason);
 }
 
-std::string text(quarantine_request const& decision_made)
+std::string text(quarantine_request const& value)
 {
-    return "quarantine_request" + pair("fingerprint", decision_made.fingerprint)
-           + pair("reason", decision_made.reason);
+    return "quarantine_request" + pair("fingerprint", value.fingerprint)
+           + pair("reason", value.reason);
 }
 
-std::string text(shift_model const& decision_made)
+std::string text(shift_model const& value)
 {
-    return "shift_model" + pair("engine", decision_made.engine)
-           + pair("model", decision_made.model)
-           + pair("reason", decision_made.reason);
+    return "shift_model" + pair("engine", value.engine)
+           + pair("model", value.model) + pair("reason", value.reason);
 }
 
 } // namespace
 
-std::string to_text(decision const& decision_made)
+std::string to_text(decision const& value)
 {
     return std::visit(
         [](auto const& alternative) {
             return text(alternative);
         },
-        decision_made);
+        value);
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/decision_text.hpp
+++ b/src/decide/decision_text.hpp
@@ -7,9 +7,9 @@
 
 namespace caperjunction::decide {
 
-/// A decision as one line of key=value pairs, the same in every run. Thread
-/// safety: no shared state.
-std::string to_text(decision const& made);
+/// Formats a decision as one line of key=value pairs, identical in every run.
+/// Thread safety: no shared state.
+std::string to_text(decision const& value);
 
 } // namespace caperjunction::decide
 
--- a/src/decide/digest.cpp
+++ b/src/decide/digest.cpp
@@ -55,7 +55,7 @@
         m_remaining -= sizeof value;
     }
 
-    /// A count of parts, at most `most`; 0 if it is not believable.
+    /// Reads the number of entries in a part; 0 if it exceeds `max_count`.
     std::size_t read_count(std::size_t max_count)
     {
         std::uint16_t value = 0;
@@ -77,7 +77,7 @@
     bool m_valid = true;
 };
 
-// A rate that is no number would spread into every sum it is added to.
+// A rate that is not finite would corrupt every sum that includes it.
 bool is_valid_rate(float rate)
 {
     return std::isfinite(rate) && rate >= 0.0F && rate < 1e9F;
--- a/src/decide/engine_set.hpp
+++ b/src/decide/engine_set.hpp
@@ -8,7 +8,7 @@
 
 namespace caperjunction::decide {
 
-/// A set of engines that can be sampled, changed and tested in constant time.
+/// A set of engines with constant-time insertion, removal and random access.
 ///
 /// Thread safety: none; owned by one task.
 class engine_set
--- a/src/decide/engine_state.cpp
+++ b/src/decide/engine_state.cpp
@@ -12,27 +12,28 @@
     return static_cast<double>(span.count());
 }
 
-// An engine that doesn't say its slots starts small and widens as it proves
-// fast: too small only queues here, too large makes all its work late.
+// An engine without listed slots starts with a small limit, which grows as long
+// as the engine is fast. Too small a limit only causes queueing on this host;
+// too large a limit makes all of the engine's requests late.
 constexpr double initial_limit = 8.0;
 constexpr double min_limit = 2.0;
 constexpr double max_limit = 512.0;
-// Requests that each host risks on an engine that was slow or away.
+// Requests that each host risks on an engine that was slow or lost.
 constexpr std::uint32_t max_probes = 2;
-// The bound narrows fast and widens slowly: beyond the target every request
-// of the engine is late, below it some capacity lies idle.
+// The limit decreases fast and increases slowly: above the target every request
+// of the engine is late, below it only some capacity is idle.
 constexpr double decrease_above = 0.92;
 constexpr double increase_below = 0.85;
 constexpr double decrease_factor = 0.95;
 constexpr double increase_step = 0.5;
-// A batch shows its new speed only after some steps; moving again before
-// that answers the same evidence twice.
+// A batch shows its new speed only after some steps. A change before that would
+// react to the same measurements twice.
 constexpr model::milliseconds decrease_interval{500};
 constexpr model::milliseconds increase_interval{200};
-// Reports are worth little once the requests they counted have ended.
+// A report loses its value once the requests that it counted have ended.
 constexpr double report_horizon_seconds = 2.0;
 constexpr model::milliseconds history_step{100};
-// Fixed part of a first token: one step of the batch.
+// Fixed part of the time to first token: one step of the batch.
 constexpr double step_ms = 25.0;
 
 } // namespace
@@ -96,7 +97,7 @@
     if (request != in_flight.end()) {
         *request = in_flight.back();
         in_flight.pop_back();
-        // Nobody else knows yet that this place is free.
+        // No other host knows yet that this slot is free.
         allowance = std::max(0.0, allowance) + 1.0;
     }
     m_pending_prefill =
@@ -118,10 +119,10 @@
 
 double engine_state::outstanding(model::time_point now) const
 {
-    // A report counts the work of all hosts but is late: what this host had
-    // on the engine then is taken out and what it has now put in. The rest
-    // belongs to others, and counts for less as the report ages. Without
-    // this, hosts chase each other onto the engine that last looked idle.
+    // A report counts the requests of all hosts but is delayed. This host's
+    // requests at that time are subtracted and its current ones added. The rest
+    // belongs to other hosts and decays with the age of the report. Without
+    // this, all hosts follow each other to the engine that last looked idle.
     double others = peer_requests;
     if (m_has_report) {
         double const age =
@@ -149,9 +150,9 @@
 
 double engine_state::pending_prefill(double rate, model::time_point now) const
 {
-    // One giant prompt that another host has sent holds up a short one by a
-    // second, however small the batch; it is shorter by what was computed
-    // since the digest.
+    // One very long prompt from another host delays a short one by a second,
+    // however small the batch. The prompt tokens computed since the digest are
+    // subtracted.
     double const age = model::seconds(now - m_peer_prefill_updated).count();
     return m_pending_prefill + std::max(0.0, m_peer_prefill - rate * age);
 }
@@ -169,7 +170,7 @@
     double const compute = tokens_ahead / prefill_rate * 1000.0;
     double const limit = std::max(1.0, concurrency_limit());
     double const excess = std::max(0.0, outstanding(now) + 1.0 - limit);
-    // Beyond its bound a request waits for one of the others to end.
+    // Above the limit a request waits until another one ends.
     double const wait = excess * gap_ms.value_or(step_ms) * 4.0;
     double const step = gap_ms.value_or(step_ms);
     return model::milliseconds(
--- a/src/decide/engine_state.hpp
+++ b/src/decide/engine_state.hpp
@@ -14,26 +14,26 @@
 
 namespace caperjunction::decide {
 
-/// Whether an engine gets new work.
+/// Whether an engine receives new requests.
 enum class engine_health : std::uint8_t
 {
     good,
-    /// Slow against its peers; gets none until `probe_at`.
+    /// Slow compared with its peers; receives no requests until `probe_at`.
     ejected,
-    /// Its process went away; gets none until `probe_at`.
+    /// The process is gone; receives no requests until `probe_at`.
     lost,
-    /// Gets a few requests that show whether it has recovered.
+    /// Receives a few requests to test whether it has recovered.
     probing,
-    /// No longer listed, or about to leave.
+    /// No longer listed, or marked as leaving.
     leaving,
 };
 
-/// What this host knows of one engine's load and speed.
+/// This host's view of one engine's load and speed.
 ///
-/// The bound on outstanding work is adaptive: it follows the time between
-/// tokens that requests have seen, against the tightest target in use. Made
-/// for bursts: an engine that is handed more than it can decode in time makes
-/// all of its requests late, and what waits inside it can't be reordered.
+/// The concurrency limit adapts to the measured gap between tokens, compared
+/// with the tightest target in use. Without it, a burst sends an engine more
+/// requests than it can decode in time: all of them become late, and requests
+/// queued inside the engine cannot be reordered.
 ///
 /// Thread safety: none; owned by one task.
 class engine_state
@@ -41,7 +41,7 @@
 public:
     explicit engine_state(std::string engine_name);
 
-    /// Takes over what the platform lists; keeps what was learnt.
+    /// Applies the platform's listing; keeps the measured state.
     void update_listing(model::engine const& listed, bool in_own_region);
 
     void record_dispatch(model::request_id id,
@@ -50,28 +50,28 @@
 
     void record_first_token(double prefill_tokens);
 
-    /// Counts one gap between tokens and moves the bound.
+    /// Records one gap between tokens and adapts the concurrency limit.
     void record_token_gap(model::seconds gap,
                           model::milliseconds tightest_target,
                           model::time_point now);
 
-    /// \pre one `dispatched` of this id has had no `ended`.
+    /// \pre `record_dispatch` was called for this id, `record_end` was not.
     void record_end(model::request_id id,
                     double pending_prefill,
                     model::time_point now);
 
     void apply_report(engine_report const& report);
 
-    /// Requests on this engine, of all hosts, as well as it can be known.
+    /// Estimated number of requests of all hosts on this engine.
     double outstanding(model::time_point now) const;
 
-    /// Bound on `outstanding`, in requests.
+    /// Maximum of `outstanding`, in requests; 0 if it accepts no work.
     double concurrency_limit() const;
 
-    /// Whether this host may send it one more request by way of probing.
+    /// Whether this host may send one more probe request.
     bool accepts_probe() const;
 
-    /// Predicted time from dispatch to first token, without the link.
+    /// Predicted time from dispatch to first token, without the link delay.
     /// `prefill_rate` is in tokens per second.
     model::milliseconds predict_first_token(double uncached_tokens,
                                             double prefill_rate,
@@ -83,29 +83,30 @@
     std::uint32_t slots = 0;
     engine_health health = engine_health::good;
     model::time_point probe_at{};
-    /// Time of the next ejection, doubled while it keeps failing.
+    /// Duration of the latest ejection; doubles on each further failure.
     model::milliseconds penalty{0};
-    /// Requests of other hosts on it, by their digests.
+    /// Requests of other hosts on this engine, from their digests.
     std::uint32_t peer_requests = 0;
-    /// Place among the engines of its model in this region, and their number.
+    /// Rank by name among the engines of its model in this region, and the
+    /// number of these engines.
     std::uint32_t rank = 0;
     std::uint32_t peer_count = 1;
-    /// The part of it that falls to this host, 0..1.
+    /// Fraction of this engine that is assigned to this host, 0..1.
     double owned_share = 1.0;
-    /// Requests of lower tiers that this host may still send it before its
-    /// share of the free room is renewed.
+    /// Lower-tier requests that this host may still send before its share of
+    /// the free capacity is computed again.
     double allowance = 1.0;
     model::time_point allowance_renewed{};
-    /// Suspects of this host and of others that run on it.
+    /// Suspects running on this engine, from this host and from others.
     std::uint32_t suspects = 0;
     std::uint32_t peer_suspects = 0;
-    /// Trust in what is known of its prefix cache, 0..1.
+    /// Confidence in the known state of its prefix cache, 0..1.
     double cache_trust = 1.0;
     std::uint64_t cache_sequence = 0;
     moving_average gap_ms{0.05};
-    /// Since when it has been slow against its peers; zero if it is not.
+    /// Start of the current slow period; zero if the engine is not slow.
     model::time_point slow_since{};
-    /// Good answers since it began probing.
+    /// Successful answers since probing began.
     std::uint32_t good_probes = 0;
     std::vector<model::request_id> in_flight;
 
@@ -114,22 +115,22 @@
         return static_cast<std::uint32_t>(in_flight.size());
     }
 
-    /// Share of KV memory in use by the latest report; 0 if there is none.
+    /// Fraction of KV memory in use in the latest report; 0 without reports.
     double kv_used() const
     {
         return m_kv_used;
     }
 
-    /// Prompt tokens of this host that wait there for their first token.
+    /// Prompt tokens sent by this host that wait for prefill.
     double local_prefill() const
     {
         return m_pending_prefill;
     }
 
-    /// Adds another host's, or takes them back, as a digest tells them.
+    /// Adds prefill tokens of a peer's digest, or subtracts them if negative.
     void add_peer_prefill(double tokens, model::time_point now);
 
-    /// Those of all hosts, by what is known; `rate` in tokens per second.
+    /// Pending prefill tokens of all hosts; `rate` is in tokens per second.
     double pending_prefill(double rate, model::time_point now) const;
 
 private:
--- a/src/decide/engine_table.cpp
+++ b/src/decide/engine_table.cpp
@@ -10,28 +10,29 @@
 
 namespace {
 
-// The last of the bound is kept for the highest tier, which may also go a
-// little over it: its burst must not wait for a lower tier's long answers,
-// and the engine runs it first by its priority.
+// The rest of the limit is reserved for the highest tier, which may also exceed
+// the limit slightly: its burst must not wait for long answers of lower tiers,
+// and the engine schedules it first by priority.
 constexpr double owned_engine_limit = 0.9;
-// Beyond this an engine takes lower tiers from the hosts that it falls to
-// alone. Made for saturation: a host knows only the prompts that it has sent
-// itself. Were all hosts to fill the last room, several long prompts would
-// meet on one engine, and hold up the highest tier's first tokens there.
+// Above this load, an engine accepts lower tiers only from the hosts that it is
+// assigned to. A host knows only the prompts that it has sent itself. If all
+// hosts used the remaining capacity under saturation, several long prompts
+// would meet on one engine and delay the highest tier's first tokens.
 constexpr double shared_engine_limit = 0.7;
 constexpr double highest_tier_limit = 1.12;
-// Prefill waiting on an engine delays every first token there. Below the
-// tightest first-token targets, so that what waits stays here, in order.
+// Pending prefill delays every first token on the engine. These limits are
+// below the tightest first-token targets, so that waiting requests stay ordered
+// on this host.
 constexpr double max_prefill_seconds = 0.12;
 constexpr double max_highest_tier_prefill_seconds = 0.25;
-// Full KV memory makes an engine put running work back and compute it anew.
-// Answers still grow after they were let in, and reports lag; so lower tiers
-// stop well before it is full.
+// With full KV memory an engine preempts running requests and recomputes them.
+// Answers grow after admission and reports are delayed, so lower tiers stop
+// well before the memory is full.
 constexpr double max_lower_tiers_memory = 0.85;
 constexpr double max_highest_tier_memory = 0.97;
 constexpr double max_lowest_tier_memory = 0.9;
 constexpr double lowest_tier_reserve = 0.1;
-// Digests of all hosts have come round in this time.
+// Digests of all hosts arrive within this time.
 constexpr model::milliseconds allowance_interval{250};
 
 } // namespace
@@ -121,10 +122,11 @@
 {
     engine_state& state = m_engines[engine_index];
     if (now - state.allowance_renewed >= allowance_interval) {
-        // All hosts see the same free room at the same time. If each filled
-        // it, an engine would get it as many times over as there are hosts.
-        // So each takes its share: of the last room on the engines that fall
-        // to it, of the rest on all.
+        // All hosts see the same free capacity at the same time. If each used
+        // all of it, an engine would get as many times the requests as there
+        // are hosts. Each host therefore takes its share: of the capacity
+        // reserved for assigned hosts on its own engines, and of the rest on
+        // all engines.
         state.owned_share =
             state.own_region ? position.share_of(state.rank, state.peer_count)
                              : 0.0;
@@ -195,7 +197,7 @@
 
 void engine_table::rank_engines()
 {
-    // In order of their names, so that all hosts cut the same row.
+    // Sorted by name, so that all hosts divide the same sequence.
     std::vector<index> sorted(m_engines.size());
     std::iota(sorted.begin(), sorted.end(), 0);
     std::sort(sorted.begin(), sorted.end(), [this](index left, index right) {
--- a/src/decide/engine_table.hpp
+++ b/src/decide/engine_table.hpp
@@ -14,8 +14,8 @@
 
 namespace caperjunction::decide {
 
-/// All engines and models, with those that have room listed by model and
-/// region, so that no decision looks through all of them.
+/// All engines and models. Engines with free capacity are indexed by model and
+/// region, so that no decision scans all engines.
 ///
 /// Thread safety: none; owned by one task.
 class engine_table
@@ -23,30 +23,32 @@
 public:
     engine_table(std::string host, std::string region);
 
-    /// Takes over the platform's list.
+    /// Applies the platform's list of upstreams.
     void apply(model::upstreams const& listed,
                std::vector<double> const& shares,
                model::time_point now);
 
-    /// Takes over the models that an engine says it serves.
+    /// Applies the models that an engine reports to serve.
     void serve_models(index engine,
                       std::vector<std::string> const& models,
                       std::vector<double> const& shares,
                       model::time_point now);
 
-    /// Sorts an engine anew after its load, bound or health changed.
+    /// Updates the capacity index after the engine's load, limit or health
+    /// changed.
     void refresh(index engine, model::time_point now);
 
-    /// Renews this host's share of the engine's free room, then refreshes.
+    /// Computes this host's share of the engine's free capacity again, at most
+    /// once per interval, and calls `refresh`.
     void renew_allowance(index engine,
                          host_position const& position,
                          model::time_point now);
 
-    /// Room as `refresh` would find it.
+    /// Capacity that `refresh` would store now.
     engine_capacity capacity_of(engine_state const& engine,
                                 model::time_point now) const;
 
-    /// Whether an engine with room for any tier has some for the lowest.
+    /// Whether an engine with capacity for any tier has some for the lowest.
     /// \pre the engine serves a model.
     bool has_capacity_for_lowest(engine_state const& engine,
                                  model::time_point now) const;
@@ -58,7 +60,7 @@
 
     index find_hash(std::uint32_t hash) const;
 
-    /// \pre place < size().
+    /// \pre engine_index < size().
     engine_state& at(index engine_index)
     {
         return m_engines[engine_index];
@@ -74,7 +76,7 @@
         return m_engines.size();
     }
 
-    /// The group of a model; made if there is none.
+    /// Index of a model's group; creates the group if it does not exist.
     index group(std::string const& model, std::vector<double> const& shares);
 
     std::string const& model(index group) const
--- a/src/decide/event.hpp
+++ b/src/decide/event.hpp
@@ -15,13 +15,13 @@
 
 namespace caperjunction::decide {
 
-/// A checked pair of lists is in force from now on.
+/// A new, validated pair of lists takes effect.
 struct lists_changed
 {
     std::shared_ptr<lists::catalogue const> catalogue;
 };
 
-/// The platform lists these upstreams from now on.
+/// The platform's list of upstreams changed.
 struct upstreams_changed
 {
     model::upstreams upstreams;
@@ -32,14 +32,14 @@
     decide::request request;
 };
 
-/// The caller hung up; nothing more is owed to it.
+/// The caller disconnected; it gets no further answer.
 struct request_cancelled
 {
     model::request_id id;
 };
 
-/// Tokens of a running attempt that have been relayed since the last such
-/// event; the first event of an attempt marks its first token.
+/// Tokens of a running attempt relayed since the previous such event. The first
+/// event of an attempt marks its first token.
 struct tokens_relayed
 {
     model::request_id id;
@@ -49,17 +49,17 @@
 /// How one attempt at an upstream ended.
 enum class attempt_end : std::uint8_t
 {
-    /// The whole answer was relayed.
+    /// The complete answer was relayed.
     complete,
-    /// The upstream said before running it that it won't.
+    /// The upstream refused the request before running it.
     refused,
-    /// No connection could be made: no byte was handed over.
+    /// No connection could be made; no byte was sent.
     unreachable,
-    /// The connection broke or went silent after bytes were handed over.
+    /// The connection broke or timed out after bytes had been sent.
     broken,
-    /// The upstream answered with an error of the request's own making.
+    /// The upstream answered with an error caused by the request.
     failed,
-    /// Ended on this host's own cancel.
+    /// Ended by this host's own cancellation.
     cancelled,
 };
 
@@ -70,25 +70,25 @@
     attempt_end end = attempt_end::complete;
     /// Output tokens relayed to the caller so far, over all attempts.
     std::uint32_t relayed_tokens = 0;
-    /// Prompt tokens that the engine says it found in its cache.
+    /// Prompt tokens that the engine reports as found in its cache.
     std::uint32_t cached_tokens = 0;
 };
 
-/// An engine's own view of its load; it lags.
+/// An engine's own, delayed view of its load.
 struct engine_report
 {
     std::string engine;
-    /// When the engine took the figures, on this host's clock.
+    /// Measurement time on this host's clock.
     model::time_point measured_at{};
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    /// Share of KV memory in use, 0..1.
+    /// Fraction of KV memory in use, 0..1.
     double kv_used = 0.0;
     std::vector<std::string> models;
 };
 
-/// Blocks that an engine's prefix cache gained or lost. Sequence numbers
-/// show gaps; after one, what was known of that engine counts for less.
+/// Blocks added to or evicted from an engine's prefix cache. A gap in the
+/// sequence numbers lowers the confidence in what is known of that cache.
 struct cache_changed
 {
     std::string engine;
@@ -97,22 +97,22 @@
     std::vector<std::uint64_t> evicted;
 };
 
-/// An engine's process went away (connection refused, or several attempts
-/// broke at once). Everything in flight there has ended as `broken`.
+/// An engine's process is gone: connections are refused, or several attempts
+/// broke at once. All attempts in flight there end as `broken`.
 struct engine_lost
 {
     std::string engine;
 };
 
-/// Another host's load, as its latest digest tells it. `bytes` is made by
-/// `router::digest` of that host and opaque to everything in between.
+/// The latest digest of another host. `bytes` come from `router::digest` on
+/// that host and are opaque to all layers in between.
 struct digest_received
 {
     std::string host;
     std::vector<std::uint8_t> bytes;
 };
 
-/// Another host is gone or leaving; its digest counts no more.
+/// Another host is gone or leaving; its digest is no longer valid.
 struct host_lost
 {
     std::string host;
@@ -130,7 +130,7 @@
 {
 };
 
-/// Everything that the decision logic can be told.
+/// All inputs of the decision logic.
 using event = std::variant<lists_changed,
                            upstreams_changed,
                            request_arrived,
--- a/src/decide/fair_queue.cpp
+++ b/src/decide/fair_queue.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-// Engines compute a prompt's tokens together, output tokens one step each:
-// on engines of today's kind a prompt token costs about an eighth.
+// Engines compute prompt tokens in parallel and output tokens one step each; on
+// current engines a prompt token costs about one eighth of an output token.
 constexpr double prompt_weight = 0.13;
-// Earnings kept, in requests: enough to serve each tier its turn, too little
-// for a block that a higher tier would notice as a missed target.
+// Credit limit in requests: enough for each tier's next request, too little for
+// a block that makes a higher tier miss its target.
 constexpr double max_credit_requests = 1.5;
 constexpr double window_seconds = 20.0;
-// Some of what is earned ends in answers that nobody waits for any more.
+// Compensates for credit spent on answers whose caller has gone.
 constexpr double share_factor = 1.24;
 
 } // namespace
@@ -66,8 +66,8 @@
             order[filled++] = head;
         }
     }
-    // Behind those that are owed come all by rank: room that an owed one may
-    // not use can still be good for the highest tier.
+    // After the tiers below their share come all tiers by rank: capacity that
+    // is closed to a lower tier may still be open to the highest.
     for (tier_state& tier : m_tiers) {
         entry* const head = tier.queue.head(remote_tokens);
         bool const below_share =
@@ -103,9 +103,9 @@
 
 void fair_queue::accrue_credit(double tokens, model::time_point now)
 {
-    // What a tier got beyond its share while there was room counts against it
-    // for a while, so that the share holds over a window and not only from
-    // the moment when a higher tier begins to wait.
+    // Tokens served beyond a tier's share while there was capacity count
+    // against it for a while. The share then holds over a window and not only
+    // from the moment at which a higher tier starts to wait.
     double const age = model::seconds(now - m_updated).count();
     double const decay = std::exp(-std::max(0.0, age) / window_seconds);
     m_updated = now;
--- a/src/decide/fair_queue.hpp
+++ b/src/decide/fair_queue.hpp
@@ -12,45 +12,47 @@
 
 namespace caperjunction::decide {
 
-/// What waits for one model: the highest tier first, but each tier gets its
-/// guaranteed share of what is served while it waits.
+/// Requests waiting for one model: highest tier first, while each tier with
+/// waiting requests gets its guaranteed share of the served tokens.
 ///
-/// Made for full saturation: strict priority would let a higher tier's burst
-/// starve the smallest society for as long as it lasts. Each tier earns its
-/// share of every token served, and goes first once it has earned its next
-/// request. Earnings stop at a few requests, so that a quiet spell is not
-/// paid out in one block in front of the higher tiers.
+/// Under full saturation, strict priority would let a higher tier's burst
+/// starve the smallest team for as long as it lasts. Each tier accrues credit
+/// in proportion to its share of every token served, and goes first once the
+/// credit covers its next request. Credit is capped at a few requests, so that
+/// a tier returning from idle does not delay the higher tiers with one large
+/// block.
 ///
 /// Thread safety: none; owned by one task.
 class fair_queue
 {
 public:
     /// Sets the guaranteed shares, highest tier first.
-    /// \pre nothing is queued in a tier beyond them.
+    /// \pre no request is queued in a tier beyond the end of `shares`.
     void set_shares(std::vector<double> const& shares);
 
-    /// `elsewhere` holds the tokens that each team has got on other hosts,
-    /// ever growing; it is as long as there are teams.
+    /// `remote_tokens` holds the tokens served to each team on other hosts; the
+    /// values only increase. Its size is the number of teams.
     void push(entry& waiting, std::vector<double> const& remote_tokens);
 
     void remove(entry& waiting);
 
     static constexpr std::size_t max_heads = model::limits::max_tiers;
 
-    /// The first request of each tier in the order in which they are to be
-    /// tried; null behind the last.
+    /// The first request of each tier, in the order in which dispatch is
+    /// attempted; null after the last.
     std::array<entry*, max_heads>
     dispatch_order(std::vector<double> const& remote_tokens);
 
-    /// Whether `waiting`'s tier goes ahead of higher ones by its share.
+    /// Whether the tier's credit covers `waiting`, which lets it pass higher
+    /// tiers.
     bool is_below_share(entry const& waiting) const;
 
-    /// Counts `tokens` of `served` (already removed) against team and tier.
+    /// Charges `tokens` of `served` (already removed) to its team and tier.
     void record_served(entry& served, double tokens, model::time_point now);
 
-    /// Corrects what a team was charged, once the output is known. The tier's
-    /// share stays as it was charged: short answers end first, and what they
-    /// give back would let a tier of long ones have twice its share at first.
+    /// Adjusts a team's charge once the output length is known. The tier's
+    /// charge is not adjusted: short answers end first, and crediting them back
+    /// would at first give a tier of long answers twice its share.
     void adjust_charge(index tier, index team, double tokens);
 
     std::size_t size() const
@@ -78,7 +80,7 @@
     {
         tier_queue queue;
         double share = 0.0;
-        /// Tokens that its share has earned and that it has not yet got.
+        /// Tokens accrued by the guaranteed share and not yet served.
         double credit = 0.0;
         moving_average expected_cost;
     };
@@ -90,8 +92,8 @@
     model::time_point m_updated{};
 };
 
-/// Tokens a request counts for: the prompt is computed in parallel and so
-/// weighs less than the output.
+/// Cost of a request in tokens. The prompt is computed in parallel and
+/// therefore weighs less than the output.
 double token_cost(entry const& waiting);
 
 } // namespace caperjunction::decide
--- a/src/decide/host_position.hpp
+++ b/src/decide/host_position.hpp
@@ -6,19 +6,20 @@
 
 namespace caperjunction::decide {
 
-/// Where this host stands among the live ones.
+/// This host's position among the live hosts.
 struct host_position
 {
     std::uint32_t hosts = 1;
     std::uint32_t in_region = 1;
-    /// Hosts of its region whose names come before its own.
+    /// Number of hosts of its region whose names sort before its own.
     std::uint32_t rank = 0;
 
     friend bool operator==(host_position const&,
                            host_position const&) = default;
 
-    /// What part of one engine out of `engines` of its region falls to this
-    /// host, 0..1: the engines lie in a row, cut into equal parts by host.
+    /// Fraction of one engine, 0..1, that is assigned to this host, with
+    /// `engines` in the region. The ordered engines are divided into equal
+    /// contiguous parts, one for each host.
     double share_of(std::uint32_t engine_rank, std::uint32_t engines) const
     {
         double const width = static_cast<double>(engines) / in_region;
--- a/src/decide/indices.hpp
+++ b/src/decide/indices.hpp
@@ -6,8 +6,8 @@
 
 namespace caperjunction::decide {
 
-/// Dense numbers that stand for names within one router, so that decisions
-/// compare and hash no strings.
+/// Dense numbers for names within one router, so that decisions neither compare
+/// nor hash strings.
 using index = std::uint32_t;
 
 inline constexpr index no_index = std::numeric_limits<index>::max();
--- a/src/decide/length_predictor.hpp
+++ b/src/decide/length_predictor.hpp
@@ -9,17 +9,17 @@
 
 namespace caperjunction::decide {
 
-/// Predicts output lengths by class: their mean.
+/// Predicts the output length of a class as the mean of its answers.
 ///
-/// Made for mixed lengths: a caller's bound is mostly far above what it gets,
-/// so charging the bound would rank teams by habit of asking. The mean, since
-/// shares are charged by it and have to come out right over many answers.
+/// Callers' limits are mostly far above the real output. Charging the limit
+/// would order teams by the limits that they usually send. The mean is used
+/// because shares are charged by it and must be accurate over many answers.
 ///
 /// Thread safety: none; owned by one task.
 class length_predictor
 {
 public:
-    /// `most` is the bound on this request's output.
+    /// `max_tokens` is the limit of this request's output; 0 if there is none.
     std::uint32_t predict(index class_id, std::uint32_t max_tokens) const
     {
         double const estimated =
@@ -31,8 +31,8 @@
         return max_tokens == 0 ? tokens : std::min(tokens, max_tokens);
     }
 
-    /// Notes an answer that ended with so many tokens before it reached its
-    /// expected length. `most` is the class's bound on outputs.
+    /// Records an answer of `tokens` tokens that ended within its predicted
+    /// length. `max_tokens` is the class's output limit.
     void record_completed(index class_id,
                           std::uint32_t tokens,
                           std::uint32_t max_tokens)
@@ -40,9 +40,9 @@
         add(class_id, tokens, max_tokens);
     }
 
-    /// Notes an answer that has just passed its expected length. It counts at
-    /// once, and not again when it ends: the short answers end first, and by
-    /// those alone a class of long ones would look short for minutes.
+    /// Records an answer that has just exceeded its predicted length. It counts
+    /// immediately and not again at its end: short answers end first, and if
+    /// only they counted, a class of long answers would look short for minutes.
     void record_overrun(index class_id,
                         std::uint32_t expected,
                         std::uint32_t max_tokens)
@@ -57,13 +57,13 @@
         std::uint32_t samples = 0;
     };
 
-    // Mean length of answers that pass the mean, as a multiple of it.
+    // Mean length of the answers longer than the mean, as a multiple of it.
     static constexpr double overrun_mean_factor = 1.45;
     static constexpr double min_sample_weight = 0.02;
-    // Callers and classes ask for a multiple of what they get.
+    // Ratio of the requested limit to the real output.
     static constexpr double requested_to_actual = 4.0;
     static constexpr double default_length = 256.0;
-    // Answers that the first guess counts for.
+    // Number of answers that the initial estimate counts for.
     static constexpr double prior_weight = 20.0;
 
     void add(index class_id, double sample, std::uint32_t max_tokens)
--- a/src/decide/link_budget.hpp
+++ b/src/decide/link_budget.hpp
@@ -8,11 +8,11 @@
 
 namespace caperjunction::decide {
 
-/// Bounds the bytes that this host sends and gets across regions.
+/// Limits the bytes that this host exchanges with other regions.
 ///
-/// Made for skewed demand: the link is narrow, shared and paid by volume, so
-/// sending each small overflow across would fill it and make also the work
-/// late that can only go that way.
+/// The link is narrow, shared and paid by volume. Under uneven demand, sending
+/// every small overflow across would fill it and also delay the requests that
+/// have no other path.
 ///
 /// Thread safety: none; owned by one task.
 class link_budget
@@ -37,8 +37,8 @@
         m_level -= bytes;
     }
 
-    /// Bytes that a request and its answer take on the link: the prompt as
-    /// text and one event for each output token.
+    /// Estimated link bytes of a request and its answer: the prompt as text,
+    /// and one event for each output token.
     static double estimate(std::uint32_t prompt_tokens,
                            std::uint32_t output_tokens)
     {
--- a/src/decide/memory_forecast.hpp
+++ b/src/decide/memory_forecast.hpp
@@ -7,12 +7,12 @@
 
 namespace caperjunction::decide {
 
-/// How much the KV memory that this host's requests hold will still grow.
+/// Forecasts the growth of the KV memory held by this host's requests.
 ///
-/// Made for a burst of long answers: just after it starts each holds its
-/// prompt alone, and an engine that looks half empty is full a minute later.
-/// It then puts running work back and computes it anew, and has no memory for
-/// the highest tier's next request.
+/// At the start of a burst of long answers each request holds only its prompt,
+/// and an engine that looks half empty is full a minute later. The engine then
+/// preempts running requests and recomputes them, and has no memory for the
+/// next request of the highest tier.
 ///
 /// Thread safety: none; owned by one task.
 class memory_forecast
@@ -24,7 +24,7 @@
         m_remaining += running.expected_output - produced_output(running);
     }
 
-    /// \pre added, and not changed since.
+    /// \pre added before, and not changed since.
     void remove(entry const& running)
     {
         m_current = std::max(0.0, m_current - current_tokens(running));
@@ -33,7 +33,7 @@
             m_remaining - (running.expected_output - produced_output(running)));
     }
 
-    /// Factor on the memory in use now, 1 or more.
+    /// Expected growth factor of the memory in use, at least 1.
     double growth() const
     {
         if (m_current <= 0.0) {
@@ -44,19 +44,18 @@
     }
 
 private:
-    // By the time that the last has grown, some of the first have ended.
+    // Some requests end before the others reach their full length.
     static constexpr double concurrent_fraction = 0.6;
     static constexpr double max_growth = 2.0;
 
     static double current_tokens(entry const& running)
     {
-        return static_cast<double>(running.prompt_tokens)
-               + running.relayed_tokens;
+        return static_cast<double>(running.prompt_tokens) + running.relayed;
     }
 
     static double produced_output(entry const& running)
     {
-        return std::min(running.expected_output, running.relayed_tokens);
+        return std::min(running.expected_output, running.relayed);
     }
 
     double m_current = 0.0;
--- a/src/decide/model_group.hpp
+++ b/src/decide/model_group.hpp
@@ -14,25 +14,25 @@
 
 namespace caperjunction::decide {
 
-/// How much room an engine has.
+/// The tiers for which an engine has capacity.
 enum class engine_capacity : std::uint8_t
 {
     none,
-    /// Only for the highest tier: the last of the bound is kept for it.
+    /// The highest tier only: the rest of the limit is reserved for it.
     highest_tier,
     any_tier,
 };
 
-/// Engines of one region that have room, for one model.
+/// Engines of one region with capacity for one model.
 struct region_capacity
 {
     engine_set any_tier;
-    /// Those of `any_tier` that fall to this host.
+    /// Engines of `any_tier` that are assigned to this host.
     engine_set owned;
     engine_set highest_tier;
 };
 
-/// One model: its engines and what waits for them.
+/// One model with its engines and waiting requests.
 struct model_group
 {
     explicit model_group(std::vector<double> const& shares)
@@ -48,17 +48,17 @@
     fair_queue queue;
     region_capacity own_region;
     region_capacity other_regions;
-    /// Engines that serve it, whatever their health.
+    /// Engines that serve the model, whatever their health.
     std::vector<index> engines;
     wait_estimator waits;
     prefill_rate prefill_estimate;
     memory_forecast kv_forecast;
-    /// By tier.
+    /// Indexed by tier.
     std::vector<overload_gate> gates;
-    /// What other hosts hold in queue and refuse, by tier.
+    /// Requests queued and refused on other hosts, indexed by tier.
     std::vector<std::uint32_t> peer_queued;
     std::vector<std::uint32_t> peer_refused;
-    /// This host's refusals under overload, by tier.
+    /// This host's refusals under overload, indexed by tier.
     std::vector<decaying_rate> refusals;
 };
 
--- a/src/decide/model_shifter.cpp
+++ b/src/decide/model_shifter.cpp
@@ -6,19 +6,19 @@
 
 namespace {
 
-// Longer than a burst that the batches absorb, and much longer for the model
-// that gives an engine away: idle for a moment is no reason to lose one.
+// Longer than a burst that the batches absorb. The idle time is much longer,
+// because a short pause is no reason to lose an engine.
 constexpr model::milliseconds min_queued_duration{10'000};
 constexpr model::milliseconds min_idle_duration{30'000};
-// Loading takes minutes; what one shift does shows before the next.
+// Loading takes minutes; the effect of one shift shows before the next.
 constexpr model::milliseconds min_shift_interval{120'000};
-// A model keeps this many engines, so that one crash doesn't end it.
+// Minimum number of engines of a model, so that one crash does not end it.
 constexpr std::size_t min_engines = 3;
 constexpr double max_idle_load = 0.4;
-// Engines looked at to judge a model's load.
+// Engines sampled to measure a model's load.
 constexpr std::size_t sampled_engines = 64;
 
-// The start of a spell goes on being noted while it lasts.
+// Keeps the start time of a condition while it holds.
 void update_since(model::time_point& since,
                   bool condition,
                   model::time_point now)
@@ -124,8 +124,8 @@
 
 index model_shifter::find_engine(engine_table const& engines, index group) const
 {
-    // The first by name of those that serve nothing else: all hosts that see
-    // the same load name the same engine, so their wishes agree.
+    // The first by name of the engines that serve only this model. Hosts that
+    // see the same load then request the same engine.
     index found = no_index;
     for (index const engine_index : engines.groups()[group].engines) {
         engine_state const& engine = engines.at(engine_index);
--- a/src/decide/model_shifter.hpp
+++ b/src/decide/model_shifter.hpp
@@ -9,26 +9,27 @@
 
 namespace caperjunction::decide {
 
-/// An engine that should serve another model.
+/// An engine and the model that it should load.
 struct model_shift
 {
     index engine = no_index;
     index group = no_index;
 };
 
-/// Finds engines of an idle model for one that is short of them.
+/// Finds engines of an idle model for a model that lacks engines.
 ///
-/// Made for demand that moves from one model to another, as at the start of a
-/// campaign. Loading a model takes an engine away for minutes and costs the
-/// store's rate, so it is asked for only when one model has been short and
-/// another idle for some time, one engine at a time, and not back at once.
+/// Demand can move from one model to another, for example at the start of a
+/// campaign. Loading a model takes an engine out of service for minutes and
+/// uses the bandwidth of the model store. A shift is therefore requested only
+/// if one model has had a queue and another has been idle for some time, one
+/// engine at a time, and never twice in a row for the same engine.
 ///
 /// Thread safety: none; owned by one task.
 class model_shifter
 {
 public:
-    /// Looks at all models, of which there are few; called about once a
-    /// second. `engine` is `no_index` if nothing is to be shifted.
+    /// Checks all models, of which there are few; called about once per second.
+    /// `engine` is `no_index` if no shift is needed.
     model_shift poll(engine_table const& engines, model::time_point now);
 
 private:
--- a/src/decide/moving_average.hpp
+++ b/src/decide/moving_average.hpp
@@ -5,13 +5,13 @@
 
 namespace caperjunction::decide {
 
-/// An exponentially weighted mean; the first samples count as a plain mean.
+/// Exponentially weighted mean. The first samples form a plain mean.
 ///
 /// Thread safety: none; owned by one task.
 class moving_average
 {
 public:
-    /// \pre 0 < weight <= 1, the share of each new sample.
+    /// \pre 0 < weight <= 1, the weight of each new sample.
     explicit moving_average(double weight = 0.05)
         : m_weight(weight)
     {
@@ -26,7 +26,7 @@
         m_value += (sample - m_value) * sample_weight;
     }
 
-    /// Forgets all samples.
+    /// Discards all samples.
     void reset()
     {
         m_value = 0.0;
@@ -38,7 +38,7 @@
         return m_samples;
     }
 
-    /// `otherwise` while there are no samples.
+    /// Returns `default_value` without samples.
     double value_or(double default_value) const
     {
         return m_samples == 0 ? default_value : m_value;
--- a/src/decide/name_hash.hpp
+++ b/src/decide/name_hash.hpp
@@ -8,15 +8,16 @@
 
 namespace caperjunction::decide {
 
-/// The short form of a name in digests. Two of 10,000 engines share one with
-/// a chance of about 1 in 100; their loads are then added up, no more.
+/// Hash that stands for a name in digests. The chance that any two of 10,000
+/// engines share a hash is about 1 in 100. The only effect of a collision is
+/// that their loads are added up.
 inline std::uint32_t name_hash(std::string_view name)
 {
     return XXH32(name.data(), name.size(), 0);
 }
 
-/// A number that spreads (host, engine, time) evenly but is the same in
-/// every run, for picking without a random generator.
+/// Mixes two numbers into an evenly distributed one. Used with host, engine and
+/// time for reproducible choices without a random generator.
 inline std::uint64_t mix(std::uint64_t left, std::uint64_t right)
 {
     std::uint64_t const words[2] = {left, right};
--- a/src/decide/name_table.hpp
+++ b/src/decide/name_table.hpp
@@ -9,13 +9,13 @@
 
 namespace caperjunction::decide {
 
-/// Gives each name a dense number that never changes.
+/// Assigns each name a dense number that never changes.
 ///
 /// Thread safety: none; owned by one task.
 class name_table
 {
 public:
-    /// The number of `name`, which is new if it was not known.
+    /// Returns the number of `name` and assigns the next one to a new name.
     index intern(std::string const& name)
     {
         auto const [found, added] =
@@ -26,14 +26,14 @@
         return found->second;
     }
 
-    /// `no_index` if the name is not known.
+    /// Returns `no_index` for an unknown name.
     index find(std::string const& name) const
     {
         auto const found = m_indices.find(name);
         return found == m_indices.end() ? no_index : found->second;
     }
 
-    /// \pre place < size().
+    /// \pre position < size().
     std::string const& name(index position) const
     {
         return m_names[position];
--- a/src/decide/outlier_detector.cpp
+++ b/src/decide/outlier_detector.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-// Engines of a batch differ by tens of percent; a throttled or failing one by
-// a factor.
+// Engines of the same type differ by tens of percent; a throttled or failing
+// one differs by a factor.
 constexpr double slow_factor = 2.2;
 constexpr std::uint32_t min_samples = 20;
-// A long prompt beside them slows an engine's answers for a moment only.
+// A long prompt in the same batch slows an engine only briefly.
 constexpr model::milliseconds min_slow_duration{1500};
 constexpr std::size_t sampled_peers = 7;
 constexpr std::size_t min_peers = 2;
-// Never more than this share of a model's engines out at once: the evidence
-// is relative, and a wrong judgement must not cost the capacity.
+// Maximum share of a model's engines out of service at once. The evidence is
+// relative, and wrong decisions must not remove the capacity.
 constexpr double max_ejected_share = 0.25;
 constexpr model::milliseconds initial_penalty{5000};
 constexpr model::milliseconds max_penalty{60'000};
--- a/src/decide/outlier_detector.hpp
+++ b/src/decide/outlier_detector.hpp
@@ -9,13 +9,13 @@
 
 namespace caperjunction::decide {
 
-/// Finds engines that are slow against their peers.
+/// Detects engines that are slow compared with their peers.
 ///
-/// Made for one slow engine among good ones: its own queue grows, its reports
-/// lag, and each request sent there misses its target. Engines are compared
-/// with peers of the same model, not with the target: under saturation all
-/// are slow together, and ejecting some would only load the rest more. For
-/// the same reason only a share of them may be out at once.
+/// The queue of a slow engine grows, its reports lag, and each request sent to
+/// it misses its target. Engines are compared with peers of the same model and
+/// not with the target: under saturation all are slow, and ejecting some would
+/// only increase the load of the rest. For the same reason the share of engines
+/// that are ejected at once is limited.
 ///
 /// Thread safety: none; owned by one task.
 class outlier_detector
@@ -23,10 +23,10 @@
 public:
     explicit outlier_detector(std::uint64_t seed);
 
-    /// Whether this engine should get no new work for now.
+    /// Whether this engine should be ejected.
     bool is_outlier(engine_table& engines, index engine, model::time_point now);
 
-    /// Time that it is out for, longer each time it fails.
+    /// Duration of the next ejection; doubles on each call.
     static model::milliseconds next_penalty(engine_state& engine);
 
 private:
--- a/src/decide/overload_gate.hpp
+++ b/src/decide/overload_gate.hpp
@@ -5,20 +5,20 @@
 
 namespace caperjunction::decide {
 
-/// Tells a short burst from lasting overload of one tier, by how long its
-/// oldest request has been past its latency target.
+/// Distinguishes a short burst from lasting overload of one tier by how long
+/// the oldest request has been past its latency target.
 ///
-/// Made for saturation: a queue in order of arrival then holds only requests
-/// that are late already, so that all capacity goes into answers that come
-/// too late. While the gate is shut, what is late is refused at once and told
-/// when to come back, and the rest keeps its target. In a short burst nothing
-/// is refused: a slightly late answer is better than none.
+/// Under saturation, a queue in arrival order holds only requests that are
+/// already late, and all capacity produces late answers. While the gate is
+/// closed, late requests are refused at once with a retry delay, and the others
+/// meet their target. In a short burst no request is refused, because a
+/// slightly late answer is better than none.
 ///
 /// Thread safety: none; owned by one task.
 class overload_gate
 {
 public:
-    /// Notes whether the tier's oldest request is late.
+    /// Records whether the tier's oldest request is late.
     void observe(bool late, model::time_point now)
     {
         if (late || m_late) {
@@ -30,20 +30,20 @@
         }
     }
 
-    /// Notes that a request was refused for overload.
+    /// Records a refusal caused by overload.
     void record_refusal(model::time_point now)
     {
         m_last_overload = now;
     }
 
-    /// Whether late requests are to be refused.
+    /// Updates the gate. Returns whether late requests are to be refused.
     bool is_closed(model::time_point now)
     {
         if (!m_closed && m_late && now - m_since >= close_delay) {
             m_closed = true;
-            // Overload that is back within the length of its last spell is
-            // the same one. Counted anew, it would tell callers to come back
-            // in a second, into its middle.
+            // Overload that returns sooner than its last period lasted counts
+            // as the same period. Counted as a new one, it would give callers a
+            // retry delay of a second, in the middle of the overload.
             if (now - m_opened_at > m_opened_at - m_closed_since) {
                 m_closed_since = now;
             }
@@ -54,7 +54,7 @@
         return m_closed;
     }
 
-    /// How long it has been shut; zero while it is open.
+    /// Time since the gate closed; zero while it is open.
     model::milliseconds closed_for(model::time_point now) const
     {
         if (!m_closed) {
@@ -65,10 +65,10 @@
     }
 
 private:
-    // A burst that one batch's turnover absorbs is over by then.
+    // A burst that fits into one batch is over within this time.
     static constexpr model::milliseconds close_delay{400};
-    // Demand above capacity comes and goes; opening at once would let the
-    // queue fill up and run late anew each time.
+    // Demand above capacity fluctuates. If the gate reopened at once, the queue
+    // would fill up and become late again each time.
     static constexpr model::milliseconds reopen_delay{3000};
 
     bool m_late = false;
--- a/src/decide/peer.hpp
+++ b/src/decide/peer.hpp
@@ -8,13 +8,13 @@
 
 namespace caperjunction::decide {
 
-/// Another host, as its latest digest shows it.
+/// Another host as described by its latest digest.
 struct peer
 {
     std::string name;
     digest load;
     model::time_point received_at{};
-    /// False once it is gone, or silent for too long.
+    /// False if the host is gone or has been silent for too long.
     bool live = false;
 };
 
--- a/src/decide/placement.hpp
+++ b/src/decide/placement.hpp
@@ -9,17 +9,17 @@
 
 namespace caperjunction::decide {
 
-/// Where a request would run best by what is known.
+/// The best predicted engine for a request.
 struct placement
 {
-    /// `no_index` if no engine has room for it.
+    /// `no_index` if no engine has capacity for the request.
     index engine = no_index;
     model::milliseconds predicted{0};
     /// Prompt tokens that the engine is expected to compute.
     double prefill_tokens = 0.0;
-    /// Bytes on the link between regions; 0 within the own one.
+    /// Bytes on the link between regions; 0 within this region.
     double link_bytes = 0.0;
-    /// What was weighed, for the log.
+    /// All evaluated engines, for the log.
     std::vector<candidate> candidates;
 };
 
--- a/src/decide/placer.cpp
+++ b/src/decide/placer.cpp
@@ -8,30 +8,30 @@
 
 namespace {
 
-// Two samples already avoid the worst engine; a few more find the prefix.
-// Beyond that the gain is less than the cost of looking.
+// Two samples already avoid the worst engine, a few more find the prefix;
+// further samples cost more than they gain.
 constexpr std::size_t max_samples = 4;
-// Trust in a cached block fades as the engine's memory turns over.
+// Confidence in a cached block decays as the engine's memory turns over.
 constexpr double trust_seconds = 120.0;
-// An engine takes work from the other region only while it is well below its
-// bound: otherwise both sides send their overflow across, and pay for it.
+// Engines of the other region get requests only while they are well below their
+// limit. Otherwise both regions send their overflow across and pay for it.
 constexpr double max_remote_load = 0.8;
 constexpr double max_highest_tier_remote_load = 0.97;
-// Between engines of equal first token the emptier one decodes faster.
+// Of two engines with equal predictions, the less loaded one decodes faster.
 constexpr double load_penalty_ms = 30.0;
-// On the engines that fall to this host it knows most of the prompts that
-// wait; on the others those of other hosts come as a surprise.
+// This host knows most pending prompts of the engines assigned to it. On other
+// engines, the prompts of other hosts add unknown delay.
 constexpr double unowned_penalty_ms = 80.0;
-// No two hosts have as much of one engine.
+// Two hosts cannot both own this share of one engine.
 constexpr double min_suspect_share = 0.51;
-// By then the others' digests tell where their suspects run.
+// Digests show within this time where the suspects of other hosts run.
 constexpr model::milliseconds suspect_delay{1000};
-// Paid bytes have to buy a noticeable gain.
+// Transferred bytes are paid and must gain noticeable time.
 constexpr double remote_penalty_ms = 100.0;
 
 } // namespace
 
-struct placer::choice
+struct placer::selection
 {
     entry const& waiting;
     engine_table const& engines;
@@ -44,7 +44,7 @@
     double cached_tokens(index engine) const;
 };
 
-double placer::choice::cached_tokens(index engine) const
+double placer::selection::cached_tokens(index engine) const
 {
     if (waiting.prefix_blocks.empty()) {
         return 0.0;
@@ -78,7 +78,7 @@
                         std::size_t tiers,
                         model::time_point now)
 {
-    choice selected{waiting, engines, now, {}, tiers, {}};
+    selection selected{waiting, engines, now, {}, tiers, {}};
     if (!waiting.prefix_blocks.empty()) {
         selected.holders = prefixes.find(waiting.prefix_blocks, now);
     }
@@ -90,7 +90,8 @@
     }
     sample(selected, group.own_region.owned);
     sample(selected, group.own_region.any_tier);
-    // The last room of an engine is the highest tier's alone.
+    // The reserve is for the highest tier; `is_eligible` also admits suspects
+    // that were running.
     if ((waiting.tier == 0 || waiting.attempt > 0)
         && selected.best.engine == no_index) {
         sample(selected, group.own_region.highest_tier);
@@ -108,7 +109,7 @@
     }
 }
 
-void placer::sample(choice& selected, engine_set const& from)
+void placer::sample(selection& selected, engine_set const& from)
 {
     std::vector<index> const& available = from.engines();
     if (available.size() <= max_samples) {
@@ -122,7 +123,7 @@
     }
 }
 
-bool placer::is_eligible(choice const& selected, index engine_index)
+bool placer::is_eligible(selection const& selected, index engine_index)
 {
     engine_state const& engine = selected.engines.at(engine_index);
     entry const& waiting = selected.waiting;
@@ -131,8 +132,8 @@
         == groups.end()) {
         return false;
     }
-    // The last room is for the highest tier, and for suspects that were
-    // running: their room has been taken from them.
+    // The reserve is for the highest tier, and for suspects that were running
+    // and have lost their slot.
     engine_capacity const capacity =
         selected.engines.capacity_of(engine, selected.now);
     bool const is_resumed_suspect = waiting.suspect && waiting.attempt > 0;
@@ -141,8 +142,8 @@
         || (capacity == engine_capacity::highest_tier && !may_use_reserve)) {
         return false;
     }
-    // The lowest tier leaves room to those between: its answers are the
-    // longest as a rule, and what it holds comes free too late for them.
+    // The lowest tier leaves capacity to the tiers above: its answers are
+    // usually the longest, and its slots become free too late for them.
     bool const is_lowest_tier = waiting.tier > 0
                                 && waiting.tier + 1 == selected.tiers
                                 && !waiting.below_share;
@@ -150,10 +151,10 @@
         && !selected.engines.has_capacity_for_lowest(engine, selected.now)) {
         return false;
     }
-    // A request in flight at a crash may be its cause. Kept apart, a second
-    // crash tells which one it was, and costs the others nothing. Hosts hear
-    // of each other's suspects late, so each keeps its own on the engines
-    // that fall to it.
+    // A request in flight during a crash may be its cause. If suspects run on
+    // separate engines, a second crash identifies the cause at no cost to the
+    // others. Hosts learn of each other's suspects with a delay, so each host
+    // uses the engines assigned to it.
     if (!waiting.suspect) {
         return true;
     }
@@ -162,7 +163,7 @@
            && (engine.owned_share >= min_suspect_share || delay_over);
 }
 
-void placer::evaluate(choice& selected, index engine_index)
+void placer::evaluate(selection& selected, index engine_index)
 {
     engine_state const& engine = selected.engines.at(engine_index);
     entry const& waiting = selected.waiting;
@@ -174,10 +175,10 @@
     if (!is_eligible(selected, engine_index)) {
         return;
     }
-    double const uncached = std::max(
-        0.0,
-        waiting.prompt_tokens + static_cast<double>(waiting.relayed_tokens)
-            - selected.cached_tokens(engine_index));
+    double const uncached =
+        std::max(0.0,
+                 waiting.prompt_tokens + static_cast<double>(waiting.relayed)
+                     - selected.cached_tokens(engine_index));
     model::milliseconds predicted =
         engine.predict_first_token(uncached,
                                    selected.engines.groups()[waiting.group]
@@ -203,7 +204,7 @@
     }
 }
 
-void placer::evaluate_remote(choice& selected)
+void placer::evaluate_remote(selection& selected)
 {
     region_capacity const& remote =
         selected.engines.groups()[selected.waiting.group].other_regions;
@@ -213,7 +214,7 @@
         return;
     }
     sample_remote(selected, remote.any_tier, max_remote_load);
-    // What the highest tier would lose here by waiting is worth its bytes.
+    // The highest tier would lose more by waiting here than the bytes cost.
     if (selected.waiting.tier == 0 && selected.best.engine == no_index) {
         sample_remote(selected, remote.any_tier, max_highest_tier_remote_load);
     }
@@ -226,7 +227,7 @@
     }
 }
 
-void placer::sample_remote(choice& selected,
+void placer::sample_remote(selection& selected,
                            engine_set const& from,
                            double max_load)
 {
--- a/src/decide/placer.hpp
+++ b/src/decide/placer.hpp
@@ -13,13 +13,13 @@
 
 namespace caperjunction::decide {
 
-/// Chooses an engine by predicted time to the first token: its queue, the
-/// prompt's uncached part, the link.
+/// Selects an engine by the predicted time to the first token: pending work,
+/// uncached part of the prompt, and link delay.
 ///
-/// Made for unequal load and for prompts with common prefixes. A few sampled
-/// engines are weighed, not all: hosts that all choose the least loaded one
-/// by the same late reports would flood it together, and the cost must not
-/// grow with the fleet.
+/// Only a few sampled engines are evaluated. If all hosts chose the least
+/// loaded engine from the same delayed reports, they would overload it
+/// together; and the cost must not grow with the size of the fleet. Engines of
+/// this region that hold a prefix of the prompt are always evaluated.
 ///
 /// Thread safety: none; owned by one task.
 class placer
@@ -29,24 +29,26 @@
            double link_bytes_per_second,
            model::milliseconds link_delay);
 
-    /// \pre `waiting` has a model; its tier is below `tiers`, their number.
+    /// \pre `waiting` has a model; its tier is below `tiers`, the number of
+    /// tiers.
     placement place(entry const& waiting,
                     engine_table const& engines,
                     prefix_index const& prefixes,
                     std::size_t tiers,
                     model::time_point now);
 
-    /// Books the link bytes of a placement that is used.
+    /// Charges the link bytes of a placement that is used.
     void charge_link(placement const& chosen, model::time_point now);
 
 private:
-    struct choice;
-
-    void sample(choice& own, engine_set const& from);
-    static bool is_eligible(choice const& own, index engine);
-    void evaluate(choice& own, index engine);
-    void evaluate_remote(choice& own);
-    void sample_remote(choice& own, engine_set const& from, double below);
+    struct selection;
+
+    void sample(selection& selected, engine_set const& from);
+    static bool is_eligible(selection const& selected, index engine);
+    void evaluate(selection& selected, index engine);
+    void evaluate_remote(selection& selected);
+    void
+    sample_remote(selection& selected, engine_set const& from, double max_load);
 
     std::mt19937_64 m_random;
     link_budget m_link;
--- a/src/decide/policy_table.hpp
+++ b/src/decide/policy_table.hpp
@@ -12,21 +12,21 @@
 
 namespace caperjunction::decide {
 
-/// The lists in force, as numbers: classes, tiers by rank, team limits.
+/// The lists in effect as numbers: classes, tiers by rank, team limits.
 ///
-/// A class keeps its number when the lists change, so that requests in
-/// queue stay valid. Thread safety: none; owned by one task.
+/// A class keeps its number when the lists change, so that queued requests stay
+/// valid. Thread safety: none; owned by one task.
 class policy_table
 {
 public:
     policy_table();
 
-    /// Puts a checked pair of lists in force. True if a tier or a class
-    /// changed, so that queued work has to be sorted again.
+    /// Applies a validated pair of lists. Returns true if a tier or a class
+    /// changed, in which case queued requests must be sorted again.
     bool apply(std::shared_ptr<lists::catalogue const> catalogue);
 
-    /// The number of a class; one that the lists don't have is served by the
-    /// defaults in the lowest tier.
+    /// The number of a class. A class that is not in the lists gets the
+    /// defaults and the lowest tier.
     index class_index(std::string const& name);
 
     class_rules const& rules(index class_id) const
--- a/src/decide/prefill_rate.hpp
+++ b/src/decide/prefill_rate.hpp
@@ -7,18 +7,18 @@
 
 namespace caperjunction::decide {
 
-/// Prompt tokens per second that the engines of one model compute.
+/// Prompt tokens per second computed by the engines of one model.
 ///
-/// Kept for all engines of a model together: one engine's samples are few,
-/// and a host that trusted them would stay with the engines that it happened
-/// to try first. It follows a quantile, since a sample is too low whenever
-/// another host's prompt was ahead.
+/// One estimate is shared by all engines of a model. A single engine yields few
+/// samples, and a host that relied on them would keep using the engines that it
+/// tried first. The estimate tracks a quantile, since a sample is too low
+/// whenever another host's prompt is ahead in the engine.
 ///
 /// Thread safety: none; owned by one task.
 class prefill_rate
 {
 public:
-    /// `computed` is what the engine did not find in its cache.
+    /// `computed` is the number of prompt tokens not found in the cache.
     void observe(double computed, model::seconds first_token)
     {
         double const time = std::max(min_seconds, first_token.count());
--- a/src/decide/prefix_index.cpp
+++ b/src/decide/prefix_index.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Blocks looked up for one prompt; a longer common part is rare, and its
-// leading blocks already tell the engines apart.
+// Blocks looked up for one prompt. Longer common prefixes are rare, and the
+// leading blocks already distinguish the engines.
 constexpr std::size_t max_lookups = 32;
 
 std::uint32_t to_seconds(model::time_point now)
@@ -74,8 +74,8 @@
     holders found{};
     std::size_t filled = 0;
     std::uint32_t const now_seconds = to_seconds(now);
-    // From the longest part down, so that each engine is met first with the
-    // most blocks it holds.
+    // From the longest prefix down, so that each engine is found first with the
+    // largest number of blocks.
     std::size_t length = std::min(blocks.size(), max_lookups);
     for (; length > 0 && filled < max_holders; --length) {
         slot const* const block_slot = find_slot(blocks[length - 1]);
--- a/src/decide/prefix_index.hpp
+++ b/src/decide/prefix_index.hpp
@@ -10,21 +10,21 @@
 
 namespace caperjunction::decide {
 
-/// An engine that is believed to hold a leading part of a prompt.
+/// An engine that probably holds leading blocks of a prompt.
 struct prefix_holder
 {
     index engine = no_index;
-    /// Leading blocks of the prompt that it holds.
+    /// Number of leading blocks that it holds.
     std::uint32_t blocks = 0;
-    /// Age of that knowledge.
+    /// Time since the blocks were recorded.
     model::seconds age{0};
 };
 
-/// Remembers which engines hold which prompt blocks, in bounded memory.
+/// Maps prompt blocks to the engines that hold them, in bounded memory.
 ///
-/// It is a guess, not a copy of the engines' caches: their events are late
-/// and have gaps, and blocks are dropped without a word. Old entries make
-/// room for new ones; a wrong one costs a prefill, never an answer.
+/// The index is an approximation of the engines' caches: their events are
+/// delayed and have gaps, and blocks are evicted without notice. New entries
+/// replace old ones. A wrong entry costs a prefill and never a wrong answer.
 ///
 /// Thread safety: none; owned by one task.
 class prefix_index
@@ -40,7 +40,7 @@
 
     void evict(std::uint64_t block, index engine);
 
-    /// Engines that hold the most leading blocks; the rest are `no_index`.
+    /// Engines with the most leading blocks; unused elements are `no_index`.
     holders find(std::vector<std::uint64_t> const& blocks,
                  model::time_point now) const;
 
--- a/src/decide/quarantine.cpp
+++ b/src/decide/quarantine.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-// One crash may be chance; a second of the same fingerprint, kept apart from
-// other suspects, is not.
+// One crash may be a coincidence; a second one of the same fingerprint, run
+// apart from other suspects, is not.
 constexpr std::uint32_t strong_evidence_points = 2;
 constexpr std::uint32_t suspect_threshold = 2;
 constexpr std::uint32_t quarantine_threshold = 4;
-// Long enough that its caller has given up; it ends by itself, since engines
-// are mended by new versions that this host doesn't hear of.
+// Long enough that the caller has given up. The quarantine ends by itself,
+// because this host is not notified when a new engine version fixes the crash.
 constexpr model::milliseconds quarantine_duration{600'000};
 constexpr model::milliseconds suspect_duration{300'000};
-// An engine that crashed can't be back and crash anew within this time.
+// An engine cannot restart and crash again within this time.
 constexpr model::milliseconds crash_window{3000};
-// Records kept, however many engines crash.
+// Maximum number of records, however many engines crash.
 constexpr std::size_t max_records = 4096;
 
 } // namespace
@@ -91,7 +91,7 @@
     suspect_record& record = m_records[fingerprint];
     record.evidence = std::max(record.evidence, evidence);
     record.last_evidence = known ? record.last_evidence : now;
-    // A peer's bytes may be wrong: no quarantine beyond the longest one.
+    // A peer's bytes may be wrong: limits the quarantine to the maximum.
     auto const until = now + std::min(remaining, quarantine_duration);
     if (remaining.count() > 0) {
         record.until = std::max(record.until, until);
--- a/src/decide/rate_limiter.hpp
+++ b/src/decide/rate_limiter.hpp
@@ -10,18 +10,18 @@
 
 namespace caperjunction::decide {
 
-/// Keeps one team within its plan's limits, over all hosts.
+/// Keeps one team within its plan's limits over all hosts.
 ///
-/// A host asks nobody: it takes what its peers' digests say they let through
-/// off the limit. Digests are late, so a burst that hits all hosts at once
-/// can pass by the lag's worth of traffic; a round trip per request would
-/// cost every request the time that only the bursts deserve.
+/// A host decides without a round trip: it subtracts the rates in its peers'
+/// digests from the limit. Digests are delayed, so a burst that reaches all
+/// hosts at once can exceed the limit by the traffic of that delay. A round
+/// trip would instead delay every request.
 ///
 /// Thread safety: none; owned by one task.
 class rate_limiter
 {
 public:
-    /// Zero if a request may pass now, otherwise when to come back.
+    /// Zero if a request is allowed now, otherwise the retry delay.
     model::milliseconds delay_until_allowed(lists::usage_limits const& limits,
                                             model::time_point now) const
     {
@@ -43,7 +43,7 @@
         m_tokens.add(tokens, now);
     }
 
-    /// \pre one `admitted` has had no `ended`.
+    /// \pre one `record_admission` has had no `record_end`.
     void record_end(double token_correction, model::time_point now)
     {
         m_concurrent -= m_concurrent > 0 ? 1 : 0;
@@ -65,14 +65,14 @@
         return std::max(0.0, m_tokens.per_second(now));
     }
 
-    /// Sums over the other hosts' digests.
+    /// Totals of the other hosts' digests.
     double peer_requests = 0.0;
     double peer_tokens = 0.0;
     std::uint32_t peer_concurrent = 0;
 
 private:
-    // Long enough that a team's pause and burst even out, short enough that
-    // one over its limit is let in again within seconds.
+    // Long enough to average a team's pauses and bursts; short enough that a
+    // team over its limit is admitted again within seconds.
     static constexpr model::milliseconds horizon{5000};
     static constexpr model::milliseconds concurrency_delay{1000};
 
@@ -85,7 +85,7 @@
         if (limit <= 0.0 || rate < limit) {
             return model::milliseconds{0};
         }
-        // The rate fades by e over the horizon.
+        // The rate decays by a factor of e over the horizon.
         double const share = std::min(1.0, rate / limit - 1.0);
         auto const wait = static_cast<std::int64_t>(share * horizon.count());
         return model::milliseconds{std::max<std::int64_t>(100, wait)};
--- a/src/decide/replay.cpp
+++ b/src/decide/replay.cpp
@@ -30,7 +30,7 @@
     }
 
 private:
-    // The router is told of time at least this often.
+    // Sends ticks up to the time; the router expects one per tick period.
     void advance_to(std::uint64_t milliseconds)
     {
         model::time_point const target =
@@ -54,11 +54,11 @@
         } else if (verb == "engine") {
             add_engine(line);
         } else if (verb == "service") {
-            model::service_instance built;
-            built.service = line.text("service");
-            built.name = line.text("name");
-            built.region = line.text("region", default_region);
-            m_upstreams.services.push_back(built);
+            model::service_instance added;
+            added.service = line.text("service");
+            added.name = line.text("name");
+            added.region = line.text("region", default_region);
+            m_upstreams.services.push_back(added);
         } else {
             return false;
         }
@@ -67,23 +67,23 @@
 
     void add_class(session_line const& line)
     {
-        lists::service_class built;
-        built.name = line.text("name");
-        built.tier = line.text("tier");
-        built.first_token =
+        lists::service_class added;
+        added.name = line.text("name");
+        added.tier = line.text("tier");
+        added.first_token =
             model::milliseconds{line.number("first_token", 490)};
-        built.max_wait = model::milliseconds{line.number("max_wait", 5000)};
-        m_plans.classes.push_back(built);
+        added.max_wait = model::milliseconds{line.number("max_wait", 5000)};
+        m_plans.classes.push_back(added);
     }
 
     void add_engine(session_line const& line)
     {
-        model::engine built;
-        built.name = line.text("name");
-        built.region = line.text("region", default_region);
-        built.models = {line.text("model")};
-        built.slots = static_cast<std::uint32_t>(line.number("slots", 0));
-        m_upstreams.engines.push_back(built);
+        model::engine added;
+        added.name = line.text("name");
+        added.region = line.text("region", default_region);
+        added.models = {line.text("model")};
+        added.slots = static_cast<std::uint32_t>(line.number("slots", 0));
+        m_upstreams.engines.push_back(added);
     }
 
     void handle_event(session_line const& line)
@@ -120,22 +120,22 @@
 
     request read_request(session_line const& line) const
     {
-        request built;
-        built.id = {line.number("id", 0)};
-        built.customer = line.text("customer", "customer");
-        built.team = line.text("team", "team");
-        built.plan = line.text("plan", "plan");
-        built.service_class = line.text("class");
-        built.model = line.text("model");
-        built.service = line.text("service");
-        built.prompt_tokens =
+        request parsed;
+        parsed.id = {line.number("id", 0)};
+        parsed.customer = line.text("customer", "customer");
+        parsed.team = line.text("team", "team");
+        parsed.plan = line.text("plan", "plan");
+        parsed.service_class = line.text("class");
+        parsed.model = line.text("model");
+        parsed.service = line.text("service");
+        parsed.prompt_tokens =
             static_cast<std::uint32_t>(line.number("prompt", 100));
-        built.max_output_tokens =
+        parsed.max_output_tokens =
             static_cast<std::uint32_t>(line.number("output", 100));
-        built.fingerprint = line.number("fingerprint", built.id.value);
-        built.repeatable = line.number("repeatable", 1) != 0;
-        built.arrived = m_now;
-        return built;
+        parsed.fingerprint = line.number("fingerprint", parsed.id.value);
+        parsed.repeatable = line.number("repeatable", 1) != 0;
+        parsed.arrived = m_now;
+        return parsed;
     }
 
     static attempt_end read_end(session_line const& line)
@@ -179,7 +179,7 @@
 
 std::string replay(std::string_view session)
 {
-    session_player replayed;
+    session_player player;
     std::size_t number = 0;
     while (!session.empty()) {
         std::size_t const end = std::min(session.find('\n'), session.size());
@@ -187,10 +187,10 @@
         session.remove_prefix(std::min(end + 1, session.size()));
         ++number;
         if (!line.empty() && line.front() != '#') {
-            replayed.play(session_line(line, number));
+            player.play(session_line(line, number));
         }
     }
-    return replayed.release_log();
+    return player.release_log();
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/replay.hpp
+++ b/src/decide/replay.hpp
@@ -6,11 +6,11 @@
 
 namespace caperjunction::decide {
 
-/// Feeds a recorded session to a fresh router and returns its decisions, one
-/// a line, each led by the time in milliseconds.
+/// Feeds a recorded session to a new router and returns its decisions, one per
+/// line, each prefixed with the time in milliseconds.
 ///
-/// The session has one event a line: the time in milliseconds and key=value
-/// pairs, ticks being made in between. `#` begins a comment. Events:
+/// The session has one event per line: the time in milliseconds and key=value
+/// pairs. Ticks are generated in between. `#` begins a comment. Events:
 ///
 ///     0 tier name=counter share=0.4
 ///     0 class name=question tier=counter first_token=490 max_wait=5000
@@ -25,11 +25,11 @@
 ///     40 cancel id=1
 ///     50 tick
 ///
-/// `arrive` takes service=NAME in place of model, repeatable=0, fingerprint=N.
-/// `end` takes how=complete|refused|unreachable|broken|failed|cancelled and
+/// `arrive` accepts service=NAME instead of model, repeatable=0, fingerprint=N.
+/// `end` accepts how=complete|refused|unreachable|broken|failed|cancelled and
 /// relayed=N.
 ///
-/// \throws model::error that names the line if one can't be read.
+/// \throws model::error that names the line if a line cannot be parsed.
 /// Thread safety: no shared state.
 std::string replay(std::string_view session);
 
--- a/src/decide/request.hpp
+++ b/src/decide/request.hpp
@@ -10,28 +10,29 @@
 
 namespace caperjunction::decide {
 
-/// A caller's request as the decision logic sees it: no body, no prompt.
+/// A caller's request without body and prompt text.
 struct request
 {
     model::request_id id;
     std::string customer;
     std::string team;
     std::string plan;
-    /// The service class that its latency target comes from.
+    /// The service class that defines its latency targets.
     std::string service_class;
     /// Exactly one of `model` and `service` is set.
     std::string model;
     std::string service;
     std::uint32_t prompt_tokens = 0;
-    /// The caller's bound on the output; 0 if it set none.
+    /// The caller's output limit; 0 if it set none.
     std::uint32_t max_output_tokens = 0;
-    /// Hashes of the prompt's leading blocks, each over all before it.
+    /// Hashes of the prompt's leading blocks, each including all blocks before
+    /// it.
     std::vector<std::uint64_t> prefix_blocks;
-    /// Hash of customer, model and whole body; equal on every resend.
+    /// Hash of customer, model and complete body; identical on every resend.
     std::uint64_t fingerprint = 0;
-    /// Whether a second run does no harm.
+    /// Whether the request can be run twice without harm.
     bool repeatable = true;
-    /// Taken over from another host; it is not handed over again.
+    /// Handed over by another host; it is not handed over again.
     bool handed_over = false;
     model::time_point arrived{};
 };
--- a/src/decide/retry_budget.hpp
+++ b/src/decide/retry_budget.hpp
@@ -7,12 +7,12 @@
 
 namespace caperjunction::decide {
 
-/// Bounds the retries of one class to a share of its first attempts.
+/// Limits the retries of one class to a fraction of its first attempts.
 ///
-/// Made for crashing and unreachable engines: unbounded retries multiply the
-/// load when capacity is lowest, and every class misses its target together.
-/// The floor pays for the neighbours of one crash: they did nothing wrong,
-/// and each is owed its whole answer.
+/// When engines crash or are unreachable, unlimited retries multiply the load
+/// while capacity is lowest, and every class misses its target. The minimum
+/// pays for the other requests of one crashed engine: they did not cause the
+/// crash, and each is entitled to its complete answer.
 ///
 /// Thread safety: none; owned by one task.
 class retry_budget
@@ -24,7 +24,7 @@
         m_tokens = std::min(m_tokens + ratio, max_retries);
     }
 
-    /// Takes one retry; false if none may be made.
+    /// Consumes one retry. Returns false if the budget is exhausted.
     bool try_acquire(model::time_point now)
     {
         decay(now);
@@ -36,13 +36,13 @@
     }
 
 private:
-    // A batch of today's engines in flight at a crash, on one host.
+    // One batch of an engine: requests of one host in flight at a crash.
     static constexpr double min_retries = 64.0;
     static constexpr double max_retries = 256.0;
     static constexpr double window_seconds = 10.0;
 
-    // Yesterday's calm must not pay for a storm now, nor a drained class stay
-    // without retries: the level returns to the floor over the window.
+    // Returns the level to the minimum over the window, so that neither a calm
+    // period pays for later retries nor an exhausted class stays without them.
     void decay(model::time_point now)
     {
         double const age = model::seconds(now - m_updated).count();
--- a/src/decide/router.hpp
+++ b/src/decide/router.hpp
@@ -12,29 +12,29 @@
 
 namespace caperjunction::decide {
 
-/// What distinguishes this host's decision logic from the others'.
+/// Host-specific settings of the decision logic.
 struct router_settings
 {
     std::string host;
     std::string region;
     std::string data_centre;
-    /// Seeds the sampling of candidates.
+    /// Seed for the sampling of candidates.
     std::uint64_t seed = 1;
     /// This host's share of the link between regions.
     double link_bytes_per_second = 150'000.0;
-    /// Time that a message takes across regions.
+    /// One-way message delay between regions.
     model::milliseconds link_delay{30};
 };
 
-/// The decision logic of one host: admitting, queueing, refusing, placing,
-/// shifting. It has no input, output, clock or thread of its own, so that a
-/// recorded list of events always gives the same decisions.
+/// The decision logic of one host: admission, queueing, refusal, placement and
+/// model shifts. It does no input or output and has no clock or thread of its
+/// own, so that a recorded sequence of events always yields the same decisions.
 ///
 /// Thread safety: none; owned by one task.
 class router
 {
 public:
-    /// The longest time that may pass between two events.
+    /// Maximum time between two events.
     static constexpr model::milliseconds tick_period{20};
 
     explicit router(router_settings settings);
@@ -42,15 +42,15 @@
     router(router&&) noexcept;
     router& operator=(router&&) noexcept;
 
-    /// Takes one event at time `now` and appends what is to be done to `out`.
+    /// Handles one event at time `now` and appends the decisions to `out`.
     ///
     /// \pre `now` is not before that of any earlier call.
     void handle(event const& input,
                 model::time_point now,
                 std::vector<decision>& out);
 
-    /// This host's load for its peers, at most a few kilobytes; they pass it
-    /// to their own `handle` as `digest_received`.
+    /// This host's load for its peers, at most a few kilobytes. They pass it to
+    /// their own `handle` as `digest_received`.
     std::vector<std::uint8_t> digest(model::time_point now) const;
 
 private:
--- a/src/decide/service_table.cpp
+++ b/src/decide/service_table.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-// Calls that one host has open at one instance. Services answer in
-// milliseconds; more than this means that it hangs, and further calls would
-// only be lost with it.
+// Maximum concurrent calls of one host to one instance. Services answer in
+// milliseconds, so more calls mean that the instance hangs, and further ones
+// would be lost with it.
 constexpr std::uint32_t max_outstanding = 256;
 
 } // namespace
--- a/src/decide/service_table.hpp
+++ b/src/decide/service_table.hpp
@@ -11,7 +11,7 @@
 
 namespace caperjunction::decide {
 
-/// The instances of the plain services and this host's calls to them.
+/// Instances of the plain services and this host's calls to them.
 ///
 /// Thread safety: none; owned by one task.
 class service_table
@@ -21,21 +21,21 @@
 
     void apply(model::upstreams const& listed);
 
-    /// The number of a service; `no_index` if none of it was ever listed.
+    /// The index of a service; `no_index` if it was never listed.
     index find(std::string const& service) const
     {
         return m_services.find(service);
     }
 
-    /// The instance with the fewest calls, first of this region; `no_index`
-    /// if all are full or there is none but `avoided`.
+    /// The instance with the fewest calls, preferring this region; `no_index`
+    /// if all are full or only `avoided` is left.
     index choose(index service, index avoided) const;
 
     bool has_instances(index service) const;
 
     void record_start(index instance_index);
 
-    /// \pre one `started` has had no `ended`.
+    /// \pre one `record_start` has had no `record_end`.
     void record_end(index instance_index);
 
     std::string const& name(index instance_index) const
--- a/src/decide/session_line.cpp
+++ b/src/decide/session_line.cpp
@@ -25,7 +25,7 @@
     std::istringstream words{std::string(text)};
     std::string time;
     if (!(words >> time >> m_verb) || !parse_number(time, m_milliseconds)) {
-        fail("no time and verb");
+        fail("missing time or verb");
     }
     std::string word;
     while (words >> word) {
@@ -51,7 +51,7 @@
     std::string const value_text = text(key);
     std::uint64_t value = default_value;
     if (!value_text.empty() && !parse_number(value_text, value)) {
-        fail(std::string(key) + " is no number");
+        fail(std::string(key) + " is not a number");
     }
     return value;
 }
@@ -67,7 +67,7 @@
 {
     throw model::error(model::error_kind::bad_request,
                        "line " + std::to_string(m_number) + ": " + what,
-                       "write it as the comment of decide::replay says");
+                       "use the format documented at decide::replay");
 }
 
 } // namespace caperjunction::decide
--- a/src/decide/session_line.hpp
+++ b/src/decide/session_line.hpp
@@ -30,13 +30,13 @@
     std::string text(std::string_view key,
                      std::string default_value = "") const;
 
-    /// \throws model::error if the value is no number.
+    /// \throws model::error if the value is not a number.
     std::uint64_t number(std::string_view key,
                          std::uint64_t default_value) const;
 
     double real(std::string_view key, double default_value) const;
 
-    /// Ends the reading of this line.
+    /// Reports an error in this line.
     /// \throws model::error, always.
     [[noreturn]] void fail(std::string const& what) const;
 
--- a/src/decide/tier_queue.cpp
+++ b/src/decide/tier_queue.cpp
@@ -36,9 +36,9 @@
 
 entry* tier_queue::head(std::vector<double> const& remote_tokens)
 {
-    // A team that is served on all hosts at once would otherwise get as many
-    // shares as there are hosts. What it got elsewhere is added when it comes
-    // first, a few teams at a time: the rest is found by the next look.
+    // Without this, a team that is served on all hosts gets as many shares as
+    // there are hosts. Its remote tokens are added when it reaches the front,
+    // for a few teams at a time; later calls handle the rest.
     for (std::size_t updates = 0; updates < max_updates; ++updates) {
         if (m_active.empty()) {
             return nullptr;
--- a/src/decide/tier_queue.hpp
+++ b/src/decide/tier_queue.hpp
@@ -15,36 +15,36 @@
 
 namespace caperjunction::decide {
 
-/// The waiting requests of one tier for one model: teams share it by tokens,
-/// and within a team the earliest latency target goes first.
+/// Waiting requests of one tier for one model. Teams share the tier by tokens;
+/// within a team the earliest latency target goes first.
 ///
-/// Made for one large team's burst: first come, first served would make the
-/// smallest society wait behind all of it. Each team has a counter of tokens
-/// served and the lowest goes next; a team that was idle starts at the lowest
-/// counter in use, so that saved-up credit can't shut out the others.
+/// In arrival order, the smallest team would wait behind the complete burst of
+/// a large one. Each team therefore has a counter of served tokens, and the
+/// team with the lowest counter goes next. A team that was idle starts at the
+/// lowest counter in use, so that accumulated credit cannot starve the others.
 ///
 /// Thread safety: none; owned by one task.
 class tier_queue
 {
 public:
-    /// \pre `waiting` is not queued; it outlives its place here.
+    /// \pre `waiting` is not queued; it outlives its entry in the queue.
     void push(entry& waiting, std::vector<double> const& remote_tokens);
 
     /// \pre `waiting` is queued here.
     void remove(entry& waiting);
 
-    /// The request that goes next; null if there is none. `elsewhere` holds
-    /// the tokens that each team has got on other hosts, ever growing.
+    /// The next request; null if the queue is empty. `remote_tokens` holds the
+    /// tokens served to each team on other hosts; the values only increase.
     entry* head(std::vector<double> const& remote_tokens);
 
-    /// The one that came last; null if there is none.
+    /// The request that arrived last; null if the queue is empty.
     entry* newest() const
     {
         return m_arrivals.empty() ? nullptr : m_arrivals.back();
     }
 
-    /// Adds tokens served here or on another host to a team's counter, or
-    /// takes back what was charged too much.
+    /// Adds tokens served on any host to a team's counter; a negative number
+    /// corrects an excess charge.
     void charge(index team, double tokens);
 
     std::size_t size() const
@@ -68,7 +68,7 @@
     struct team_queue
     {
         double counter = 0.0;
-        /// Tokens elsewhere that the counter has in it.
+        /// Remote tokens that the counter already includes.
         double remote_tokens = 0.0;
         std::map<request_key, entry*> requests;
     };
--- a/src/decide/wait_estimator.hpp
+++ b/src/decide/wait_estimator.hpp
@@ -12,12 +12,12 @@
 
 namespace caperjunction::decide {
 
-/// Predicts how long a request of a tier would wait for one model.
+/// Predicts the queueing time of a request of a tier for one model.
 ///
-/// By Little's law: as many requests as this host has running end in the time
-/// that one of them takes on average. A tier gets what higher tiers' arrivals
-/// leave, and never less than its guaranteed share. Used for refusing early
-/// and for the Retry-After of refusals.
+/// By Little's law, the requests that this host has running end within the mean
+/// duration of one of them. A tier gets the rate that the arrivals of higher
+/// tiers leave, and at least its guaranteed share. The prediction is used for
+/// early refusals and for the Retry-After of refusals.
 ///
 /// Thread safety: none; owned by one task.
 class wait_estimator
@@ -36,7 +36,7 @@
         ++m_running;
     }
 
-    /// \pre one `started` has had no `ended`.
+    /// \pre one `record_start` has had no `record_end`.
     void record_end(model::milliseconds running_time)
     {
         m_running -= m_running > 0 ? 1 : 0;
@@ -48,7 +48,7 @@
         return m_running;
     }
 
-    /// Requests a second that this host's share of the engines ends.
+    /// Requests per second completed by this host's share of the engines.
     double completion_rate() const
     {
         double const duration =
@@ -56,7 +56,7 @@
         return std::max<double>(1.0, m_running) / duration;
     }
 
-    /// Wait of a request that would come last in its tier's queue.
+    /// Queueing time of a request at the end of its tier's queue.
     model::milliseconds predict(fair_queue const& queue,
                                 std::vector<double> const& shares,
                                 index tier,
@@ -86,7 +86,7 @@
     static constexpr model::milliseconds horizon{3000};
     static constexpr double min_duration = 0.02;
     static constexpr double default_duration = 1.0;
-    // A longer forecast is worth nothing: demand will have changed.
+    // Longer predictions are useless: demand changes in the meantime.
     static constexpr double max_seconds = 600.0;
 
     std::vector<decaying_rate> m_arrivals;
--- a/tests/decide/golden_test.cpp
+++ b/tests/decide/golden_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::filesystem::path const folder =
+std::filesystem::path const golden_folder =
     std::filesystem::path(SOURCE_ROOT) / "tests/decide/golden";
 
 std::string read(std::filesystem::path const& path)
@@ -27,30 +27,31 @@
 
 } // namespace
 
-// A file that is missing counts as empty, so that a new session can't pass
-// before its decisions have been looked at and written down.
-TEST_CASE("recorded sessions give the recorded decisions")
+// A missing file counts as empty, so that a new session fails until its
+// decisions have been reviewed and stored.
+TEST_CASE("recorded sessions replay to the recorded decisions")
 {
     std::size_t sessions = 0;
-    for (auto const& file : std::filesystem::directory_iterator(folder)) {
-        if (file.path().extension() != ".events") {
+    for (auto const& session_file :
+         std::filesystem::directory_iterator(golden_folder)) {
+        if (session_file.path().extension() != ".events") {
             continue;
         }
         ++sessions;
-        std::filesystem::path expected = file.path();
+        std::filesystem::path expected = session_file.path();
         expected.replace_extension(".decisions");
-        INFO(file.path().filename().string());
-        std::string const made = decide::replay(read(file.path()));
-        CHECK(made == read(expected));
-        CHECK_FALSE(made.empty());
+        INFO(session_file.path().filename().string());
+        std::string const decisions = decide::replay(read(session_file.path()));
+        CHECK(decisions == read(expected));
+        CHECK_FALSE(decisions.empty());
     }
     CHECK(sessions >= 5);
 }
 
-TEST_CASE("a session that can't be read names the line and the remedy")
+TEST_CASE("an unreadable session is reported with its line")
 {
     CHECK_THROWS_WITH_AS(decide::replay("0 lists\nsoon tick\n"),
-                         "line 2: no time and verb",
+                         "line 2: missing time or verb",
                          model::error);
     CHECK_THROWS_AS(decide::replay("0 dance\n"), model::error);
     CHECK_THROWS_AS(decide::replay("0 arrive id=many\n"), model::error);
--- a/tests/decide/history.cpp
+++ b/tests/decide/history.cpp
@@ -6,7 +6,7 @@
 
 constexpr char const* class_names[] = {"counter", "desk", "office"};
 
-// No guaranteed shares, so that the order of tiers is strict.
+// Without guaranteed shares the order of tiers is strict.
 std::shared_ptr<lists::catalogue const> strict_catalogue()
 {
     lists::plan_list plans = small_catalogue()->plans();
@@ -29,22 +29,22 @@
 history::history(std::uint64_t seed)
     : m_random(seed)
 {
-    m_session.handle(decide::lists_changed{strict_catalogue()});
+    m_fixture.handle(decide::lists_changed{strict_catalogue()});
     model::service_instance ledger;
     ledger.service = "ledger";
     ledger.name = "ledger-1";
     ledger.region = "west";
-    m_session.upstreams.services.push_back(ledger);
+    m_fixture.upstreams.services.push_back(ledger);
     ledger.name = "ledger-2";
-    m_session.upstreams.services.push_back(ledger);
-    m_session.add_engines(1 + random_below(4),
+    m_fixture.upstreams.services.push_back(ledger);
+    m_fixture.add_engines(1 + random_below(4),
                           1 + static_cast<std::uint32_t>(random_below(4)));
-    m_session.out.clear();
+    m_fixture.decisions.clear();
 }
 
 void history::run(std::size_t count)
 {
-    for (std::size_t made = 0; made < count; ++made) {
+    for (std::size_t generated = 0; generated < count; ++generated) {
         step();
     }
 }
@@ -80,7 +80,7 @@
         random_below(8) == 0 ? change_upstreams() : report_load();
         break;
     default:
-        m_session.now += model::milliseconds(random_below(200));
+        m_fixture.now += model::milliseconds(random_below(200));
         handle(decide::tick{});
         break;
     }
@@ -88,16 +88,17 @@
 
 void history::finish_all()
 {
-    for (int round = 0; round < 200 && has_unfinished(); ++round) {
-        for (auto& [id, one] : m_requests) {
-            if (one.stage == stage_kind::running) {
-                end_attempt(one, decide::attempt_end::complete);
-            } else if (one.stage == stage_kind::handed_over) {
-                one.stage = stage_kind::waiting;
-                handle(decide::hand_over_refused{one.request.id, "host-2"});
+    for (int attempt_round = 0; attempt_round < 200 && has_unfinished();
+         ++attempt_round) {
+        for (auto& [id, request] : m_requests) {
+            if (request.stage == stage_kind::running) {
+                end_attempt(request, decide::attempt_end::complete);
+            } else if (request.stage == stage_kind::handed_over) {
+                request.stage = stage_kind::waiting;
+                handle(decide::hand_over_refused{request.data.id, "host-2"});
             }
         }
-        m_session.now += std::chrono::seconds{1};
+        m_fixture.now += std::chrono::seconds{1};
         handle(decide::tick{});
     }
     expect(!has_unfinished(), "each request gets a final decision");
@@ -105,98 +106,98 @@
 
 void history::add_request()
 {
-    tracked_request made;
+    tracked_request added;
     std::uint64_t const id = m_next_id++;
-    made.request = m_session.make(id, class_names[random_below(3)]);
-    made.request.team = "team-" + std::to_string(random_below(3));
-    made.request.fingerprint = random_below(8) == 0 ? 7 : 100 + id;
-    made.request.repeatable = random_below(3) != 0;
+    added.data = m_fixture.make_request(id, class_names[random_below(3)]);
+    added.data.team = "team-" + std::to_string(random_below(3));
+    added.data.fingerprint = random_below(8) == 0 ? 7 : 100 + id;
+    added.data.repeatable = random_below(3) != 0;
     if (random_below(5) == 0) {
-        made.request.model.clear();
-        made.request.service = "ledger";
+        added.data.model.clear();
+        added.data.service = "ledger";
     }
-    made.request.handed_over = random_below(10) == 0;
-    m_requests[id] = made;
-    handle(decide::request_arrived{m_requests[id].request});
+    added.data.handed_over = random_below(10) == 0;
+    m_requests[id] = added;
+    handle(decide::request_arrived{m_requests[id].data});
 }
 
 void history::relay_tokens()
 {
-    tracked_request* const one = pick_request(stage_kind::running);
-    if (one != nullptr) {
+    tracked_request* const request = pick_request(stage_kind::running);
+    if (request != nullptr) {
         auto const count = 1 + static_cast<std::uint32_t>(random_below(40));
-        one->relayed += count;
-        handle(decide::tokens_relayed{one->request.id, count});
+        request->relayed += count;
+        handle(decide::tokens_relayed{request->data.id, count});
     }
 }
 
 void history::end_random_attempt()
 {
-    tracked_request* const one = pick_request(stage_kind::running);
-    if (one == nullptr) {
+    tracked_request* const request = pick_request(stage_kind::running);
+    if (request == nullptr) {
         return;
     }
     auto outcome = static_cast<decide::attempt_end>(random_below(5));
-    bool const has_output = one->relayed > 0;
+    bool const has_output = request->relayed > 0;
     bool const says_not_run = outcome == decide::attempt_end::refused
                               || outcome == decide::attempt_end::unreachable;
     if (has_output && says_not_run) {
         outcome = decide::attempt_end::broken;
     }
-    end_attempt(*one, outcome);
+    end_attempt(*request, outcome);
 }
 
-void history::end_attempt(tracked_request& one, decide::attempt_end outcome)
+void history::end_attempt(tracked_request& request, decide::attempt_end outcome)
 {
     bool const final = outcome == decide::attempt_end::complete;
-    one.stage = final ? stage_kind::done : stage_kind::waiting;
-    one.may_have_run = one.may_have_run
-                       || outcome == decide::attempt_end::broken
-                       || outcome == decide::attempt_end::failed;
+    request.stage = final ? stage_kind::done : stage_kind::waiting;
+    request.may_have_run = request.may_have_run
+                           || outcome == decide::attempt_end::broken
+                           || outcome == decide::attempt_end::failed;
     handle(decide::attempt_ended{
-        one.request.id, one.upstream, outcome, one.relayed, 0});
+        request.data.id, request.upstream, outcome, request.relayed, 0});
 }
 
 void history::cancel_request()
 {
-    tracked_request* const one = pick_request(
+    tracked_request* const request = pick_request(
         random_below(2) == 0 ? stage_kind::running : stage_kind::waiting);
-    if (one == nullptr) {
+    if (request == nullptr) {
         return;
     }
-    bool const was_running = one->stage == stage_kind::running;
-    one->stage = stage_kind::done;
-    std::size_t const before = m_session.out.size();
-    handle(decide::request_cancelled{one->request.id});
+    bool const was_running = request->stage == stage_kind::running;
+    request->stage = stage_kind::done;
+    std::size_t const before = m_fixture.decisions.size();
+    handle(decide::request_cancelled{request->data.id});
     bool cancelled = false;
-    for (std::size_t position = before; position < m_session.out.size();
+    for (std::size_t position = before; position < m_fixture.decisions.size();
          ++position) {
-        auto const* made =
-            std::get_if<decide::cancel_attempt>(&m_session.out[position]);
-        cancelled = cancelled || (made && made->id == one->request.id);
+        auto const* decision =
+            std::get_if<decide::cancel_attempt>(&m_fixture.decisions[position]);
+        cancelled = cancelled || (decision && decision->id == request->data.id);
     }
-    expect(cancelled == was_running, "what runs is cancelled at once");
+    expect(cancelled == was_running, "a running request is cancelled at once");
 }
 
 void history::lose_engine()
 {
-    auto const& engines = m_session.upstreams.engines;
+    auto const& engines = m_fixture.upstreams.engines;
     std::string const name = engines[random_below(engines.size())].name;
     handle(decide::engine_lost{name});
-    for (auto& [id, one] : m_requests) {
-        if (one.stage == stage_kind::running && one.upstream == name) {
-            end_attempt(one, decide::attempt_end::broken);
+    for (auto& [id, request] : m_requests) {
+        if (request.stage == stage_kind::running && request.upstream == name) {
+            end_attempt(request, decide::attempt_end::broken);
         }
     }
 }
 
 void history::receive_digest()
 {
-    std::vector<std::uint8_t> bytes = m_peer.digest(m_session.now);
+    std::vector<std::uint8_t> bytes = m_peer.digest(m_fixture.now);
     if (random_below(2) == 0) {
         bytes.resize(random_below(80));
-        for (std::uint8_t& one : bytes) {
-            one = static_cast<std::uint8_t>(random_below(256));
+        for (std::uint8_t& byte : bytes) {
+            byte = static_cast<std::uint8_t>(random_below(256));
         }
     }
     handle(decide::digest_received{"host-2", bytes});
@@ -207,107 +208,110 @@
 
 void history::change_upstreams()
 {
-    for (model::engine& one : m_session.upstreams.engines) {
-        one.leaving = random_below(4) == 0;
+    for (model::engine& engine : m_fixture.upstreams.engines) {
+        engine.leaving = random_below(4) == 0;
     }
-    handle(decide::upstreams_changed{m_session.upstreams});
+    handle(decide::upstreams_changed{m_fixture.upstreams});
 }
 
 void history::report_load()
 {
-    auto const& engines = m_session.upstreams.engines;
-    decide::engine_report made;
-    made.engine = engines[random_below(engines.size())].name;
-    made.measured_at = m_session.now - model::milliseconds(random_below(1000));
-    made.running = static_cast<std::uint32_t>(random_below(6));
-    made.kv_used = static_cast<double>(random_below(100)) / 100.0;
-    handle(made);
+    auto const& engines = m_fixture.upstreams.engines;
+    decide::engine_report report;
+    report.engine = engines[random_below(engines.size())].name;
+    report.measured_at =
+        m_fixture.now - model::milliseconds(random_below(1000));
+    report.running = static_cast<std::uint32_t>(random_below(6));
+    report.kv_used = static_cast<double>(random_below(100)) / 100.0;
+    handle(report);
 }
 
-void history::handle(decide::event const& happened)
+void history::handle(decide::event const& input)
 {
-    std::size_t const before = m_session.out.size();
-    m_session.handle(happened);
-    for (std::size_t position = before; position < m_session.out.size();
+    std::size_t const before = m_fixture.decisions.size();
+    m_fixture.handle(input);
+    for (std::size_t position = before; position < m_fixture.decisions.size();
          ++position) {
-        check_decision(m_session.out[position]);
+        check_decision(m_fixture.decisions[position]);
     }
 }
 
-void history::check_decision(decide::decision const& made)
+void history::check_decision(decide::decision const& decision)
 {
-    if (auto const* sent = std::get_if<decide::dispatch>(&made)) {
+    if (auto const* sent = std::get_if<decide::dispatch>(&decision)) {
         check_dispatch(*sent);
-    } else if (auto const* refused = std::get_if<decide::refuse>(&made)) {
-        check_refusal(*refused);
+    } else if (auto const* refusal = std::get_if<decide::refuse>(&decision)) {
+        check_refusal(*refusal);
     } else if (auto const* handed_over_request =
-                   std::get_if<decide::hand_over>(&made)) {
-        tracked_request& one = m_requests[handed_over_request->id.value];
-        expect(one.stage == stage_kind::waiting,
-               "only what waits is handed over");
-        expect(!one.request.handed_over, "a request is handed over once");
-        one.stage = stage_kind::handed_over;
+                   std::get_if<decide::hand_over>(&decision)) {
+        tracked_request& request = m_requests[handed_over_request->id.value];
+        expect(request.stage == stage_kind::waiting,
+               "only a waiting request is handed over");
+        expect(!request.data.handed_over, "a request is handed over once");
+        request.stage = stage_kind::handed_over;
     }
 }
 
 void history::check_dispatch(decide::dispatch const& sent)
 {
-    tracked_request& one = m_requests[sent.id.value];
-    expect(one.stage == stage_kind::waiting, "only what waits is sent");
-    expect(one.request.repeatable || !one.may_have_run,
-           "work that may run once is not sent after it may have run");
+    tracked_request& request = m_requests[sent.id.value];
+    expect(request.stage == stage_kind::waiting,
+           "only a waiting request is dispatched");
+    expect(request.data.repeatable || !request.may_have_run,
+           "a non-repeatable request is not sent after it may have run");
     bool const single_attempt =
-        !one.request.service.empty() && !one.request.repeatable;
-    expect(!single_attempt || one.dispatches == 0,
-           "such a call gets one attempt");
-    expect(sent.resume_offset == one.relayed, "an answer goes on where it was");
-    for (model::engine const& engine : m_session.upstreams.engines) {
+        !request.data.service.empty() && !request.data.repeatable;
+    expect(!single_attempt || request.dispatches == 0,
+           "a non-repeatable service call gets one attempt");
+    expect(sent.resume_offset == request.relayed,
+           "an answer resumes where it stopped");
+    for (model::engine const& engine : m_fixture.upstreams.engines) {
         expect(engine.name != sent.upstream || !engine.leaving,
-               "an engine that leaves gets no new work");
+               "a leaving engine gets no new requests");
     }
-    if (one.request.service.empty()) {
-        check_order(one);
+    if (request.data.service.empty()) {
+        check_order(request);
     }
-    one.stage = stage_kind::running;
-    one.upstream = sent.upstream;
-    ++one.dispatches;
+    request.stage = stage_kind::running;
+    request.upstream = sent.upstream;
+    ++request.dispatches;
 }
 
 void history::check_order(tracked_request const& sent)
 {
-    // A request that has been sent before may avoid the engine or wait apart
-    // from others; only fresh ones have to keep the order of tiers.
+    // A request that has been dispatched before may avoid an engine or wait
+    // apart from others; the order of tiers applies to first attempts only.
     if (sent.dispatches > 0) {
         return;
     }
     for (auto const& [id, other] : m_requests) {
         bool const overtakes =
             other.stage == stage_kind::waiting && other.dispatches == 0
-            && other.request.service.empty() && other.request.fingerprint != 7
-            && tier_of(other.request) < tier_of(sent.request);
-        expect(!overtakes, "no lower tier goes ahead of a higher one");
+            && other.data.service.empty() && other.data.fingerprint != 7
+            && tier_of(other.data) < tier_of(sent.data);
+        expect(!overtakes, "no lower tier overtakes a higher one");
     }
 }
 
 void history::check_refusal(decide::refuse const& refused)
 {
-    tracked_request& one = m_requests[refused.id.value];
-    expect(one.stage == stage_kind::waiting,
-           "one final decision, for what waits");
-    expect(refused.outcome != model::outcome::not_run || !one.may_have_run,
-           "not-run is said only if it is true");
-    expect(refused.retry_after.count() > 0, "a refusal says when to come back");
+    tracked_request& request = m_requests[refused.id.value];
+    expect(request.stage == stage_kind::waiting,
+           "a waiting request gets one final decision");
+    expect(refused.outcome != model::outcome::not_run || !request.may_have_run,
+           "not-run is reported only if it is true");
+    expect(refused.retry_after.count() > 0, "a refusal has a retry delay");
     expect(!refused.remedy.empty() && !refused.reason.empty(),
            "a refusal has a reason and a remedy");
-    one.stage = stage_kind::done;
+    request.stage = stage_kind::done;
 }
 
 history::tracked_request* history::pick_request(stage_kind stage_wanted)
 {
     std::vector<tracked_request*> found;
-    for (auto& [id, one] : m_requests) {
-        if (one.stage == stage_wanted) {
-            found.push_back(&one);
+    for (auto& [id, request] : m_requests) {
+        if (request.stage == stage_wanted) {
+            found.push_back(&request);
         }
     }
     return found.empty() ? nullptr : found[random_below(found.size())];
@@ -315,8 +319,8 @@
 
 bool history::has_unfinished() const
 {
-    for (auto const& [id, one] : m_requests) {
-        if (one.stage != stage_kind::done) {
+    for (auto const& [id, request] : m_requests) {
+        if (request.stage != stage_kind::done) {
             return true;
         }
     }
@@ -327,7 +331,7 @@
 {
     if (!holds) {
         m_violations.push_back(guarantee + ", at "
-                               + std::to_string(m_session.out.size()));
+                               + std::to_string(m_fixture.decisions.size()));
     }
 }
 
--- a/tests/decide/history.hpp
+++ b/tests/decide/history.hpp
@@ -11,20 +11,20 @@
 
 namespace caperjunction::tests {
 
-/// A random but consistent history of events for one router, which notes each
-/// decision that breaks a promise to callers.
+/// A random but consistent sequence of events for one router. Records each
+/// decision that violates a guarantee to callers.
 class history
 {
 public:
     explicit history(std::uint64_t seed);
 
-    /// Makes `count` random events.
+    /// Generates `count` random events.
     void run(std::size_t count);
 
-    /// Ends what runs and lets all waits pass.
+    /// Ends all running attempts and lets the maximum waits expire.
     void finish_all();
 
-    /// Empty if every promise was kept.
+    /// Empty if every guarantee held.
     std::vector<std::string> const& violations() const
     {
         return m_violations;
@@ -32,7 +32,7 @@
 
     std::vector<decide::decision> const& decisions() const
     {
-        return m_session.out;
+        return m_fixture.decisions;
     }
 
 private:
@@ -46,7 +46,7 @@
 
     struct tracked_request
     {
-        decide::request request;
+        decide::request data;
         stage_kind stage = stage_kind::waiting;
         std::string upstream;
         std::uint32_t relayed = 0;
@@ -64,8 +64,8 @@
     void receive_digest();
     void change_upstreams();
     void report_load();
-    void handle(decide::event const& happened);
-    void check_decision(decide::decision const& made);
+    void handle(decide::event const& input);
+    void check_decision(decide::decision const& decision);
     void check_dispatch(decide::dispatch const& sent);
     void check_order(tracked_request const& sent);
     void check_refusal(decide::refuse const& refused);
@@ -75,7 +75,7 @@
     std::uint64_t random_below(std::uint64_t limit);
 
     std::mt19937_64 m_random;
-    session m_session;
+    router_fixture m_fixture;
     decide::router m_peer{{"host-2", "west", "west-a", 2}};
     std::map<std::uint64_t, tracked_request> m_requests;
     std::uint64_t m_next_id = 1;
--- a/tests/decide/history_test.cpp
+++ b/tests/decide/history_test.cpp
@@ -8,12 +8,12 @@
 using namespace caperjunction;
 using namespace caperjunction::tests;
 
-// Requests of all tiers, cancels, broken and refused attempts, lost and
-// leaving engines and garbage from a peer come in any order. Callers would
-// notice a broken promise as a second charge, a wrong not-run, or silence.
-TEST_CASE("no history of events breaks a promise to a caller")
+// Requests of all tiers, cancellations, broken and refused attempts, lost and
+// leaving engines and corrupt peer data arrive in any order. A violated
+// guarantee reaches callers as a second charge, a wrong not-run, or no answer.
+TEST_CASE("no sequence of events violates a guarantee to a caller")
 {
-    CHECK(rc::check("promises", [](std::uint64_t seed) {
+    CHECK(rc::check("guarantees", [](std::uint64_t seed) {
         history sequence(seed);
         sequence.run(300);
         sequence.finish_all();
@@ -39,7 +39,7 @@
     }));
 }
 
-TEST_CASE("any bytes are either a whole digest or none")
+TEST_CASE("arbitrary bytes decode to a complete digest or to none")
 {
     CHECK(rc::check("decode", [](std::vector<std::uint8_t> const& bytes) {
         decide::digest decoded;
@@ -49,7 +49,7 @@
     }));
 }
 
-TEST_CASE("a digest is read as it was written, and not if a byte differs")
+TEST_CASE("a digest survives a round trip, and a changed byte is detected")
 {
     CHECK(rc::check(
         "round trip", [](std::uint8_t count, std::size_t position_seed) {
--- a/tests/decide/parts_test.cpp
+++ b/tests/decide/parts_test.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr model::time_point start{std::chrono::hours{1}};
+constexpr model::time_point start_time{std::chrono::hours{1}};
 
 struct team_queues
 {
@@ -32,7 +32,7 @@
         queued.tier = tier;
         queued.team = team;
         queued.expected_output = 99;
-        queued.deadline = start + milliseconds{entries.size()};
+        queued.deadline = start_time + milliseconds{entries.size()};
         queue.push(queued, remote_tokens);
         return queued;
     }
@@ -41,7 +41,7 @@
     {
         entry* const head = queue.dispatch_order(remote_tokens)[0];
         queue.remove(*head);
-        queue.record_served(*head, token_cost(*head), start);
+        queue.record_served(*head, token_cost(*head), start_time);
         return head;
     }
 
@@ -52,9 +52,9 @@
 
 } // namespace
 
-// A large team sends all of its requests before a small society's first. The
-// society would wait behind all of them.
-TEST_CASE("a team's burst does not stand in front of a small team")
+// A large team sends all of its requests before a small team's first. In
+// arrival order the small team would wait behind all of them.
+TEST_CASE("a team's burst does not delay a small team")
 {
     team_queues queues;
     for (int count = 0; count < 50; ++count) {
@@ -67,7 +67,7 @@
     CHECK((first == 2 || second == 2));
 }
 
-TEST_CASE("what a team gets on other hosts counts here")
+TEST_CASE("tokens served on other hosts count against the team's share")
 {
     team_queues queues;
     queues.add(0, 1);
@@ -76,8 +76,8 @@
     CHECK(queues.serve()->team == 2);
 }
 
-// The highest tier asks for more than there is. Without its guaranteed share
-// the lowest would never be served.
+// The highest tier demands more than the capacity. Without its guaranteed share
+// the lowest tier would never be served.
 TEST_CASE("each tier gets its guaranteed share while a higher one waits")
 {
     team_queues queues;
@@ -92,90 +92,91 @@
     CHECK(lower <= 28);
 }
 
-TEST_CASE("retries run out in a storm and come back in calm")
+TEST_CASE("retries run out in a burst and recover afterwards")
 {
     retry_budget budget;
     int acquired = 0;
-    while (budget.try_acquire(start) && acquired < 1'000) {
+    while (budget.try_acquire(start_time) && acquired < 1'000) {
         ++acquired;
     }
     CHECK(acquired < 300);
-    CHECK_FALSE(budget.try_acquire(start));
-    CHECK(budget.try_acquire(start + seconds{20}));
+    CHECK_FALSE(budget.try_acquire(start_time));
+    CHECK(budget.try_acquire(start_time + seconds{20}));
 }
 
-TEST_CASE("a team over its limit is told when to come back")
+TEST_CASE("a team over its limit gets a retry delay")
 {
     rate_limiter limiter;
     lists::usage_limits limits;
     limits.requests_per_second = 2.0;
-    CHECK(limiter.delay_until_allowed(limits, start).count() == 0);
+    CHECK(limiter.delay_until_allowed(limits, start_time).count() == 0);
     for (int count = 0; count < 20; ++count) {
-        limiter.record_admission(1.0, start);
+        limiter.record_admission(1.0, start_time);
     }
-    CHECK(limiter.delay_until_allowed(limits, start).count() > 0);
-    CHECK(limiter.delay_until_allowed(limits, start + seconds{30}).count()
+    CHECK(limiter.delay_until_allowed(limits, start_time).count() > 0);
+    CHECK(limiter.delay_until_allowed(limits, start_time + seconds{30}).count()
           == 0);
     limiter.peer_requests = 3.0;
-    CHECK(limiter.delay_until_allowed(limits, start + seconds{30}).count() > 0);
+    CHECK(limiter.delay_until_allowed(limits, start_time + seconds{30}).count()
+          > 0);
 }
 
-TEST_CASE("a gate shuts on lasting lateness only, and opens after relief")
+TEST_CASE("a gate closes on lasting lateness only, and reopens after a delay")
 {
     overload_gate gate;
-    gate.observe(true, start);
-    CHECK_FALSE(gate.is_closed(start + milliseconds{100}));
-    gate.observe(false, start + milliseconds{200});
-    CHECK_FALSE(gate.is_closed(start + seconds{1}));
-    gate.observe(true, start + seconds{2});
-    CHECK(gate.is_closed(start + seconds{3}));
-    gate.observe(false, start + seconds{4});
-    CHECK(gate.is_closed(start + seconds{5}));
-    CHECK_FALSE(gate.is_closed(start + seconds{9}));
+    gate.observe(true, start_time);
+    CHECK_FALSE(gate.is_closed(start_time + milliseconds{100}));
+    gate.observe(false, start_time + milliseconds{200});
+    CHECK_FALSE(gate.is_closed(start_time + seconds{1}));
+    gate.observe(true, start_time + seconds{2});
+    CHECK(gate.is_closed(start_time + seconds{3}));
+    gate.observe(false, start_time + seconds{4});
+    CHECK(gate.is_closed(start_time + seconds{5}));
+    CHECK_FALSE(gate.is_closed(start_time + seconds{9}));
 }
 
-// Overload pauses for some seconds and returns. A caller refused at its return
-// would be told to come back in a second, into the middle of it.
-TEST_CASE("overload that returns soon is one spell")
+// Overload pauses for some seconds and returns. Counted as new, it would give a
+// caller a retry delay of a second, in the middle of the overload.
+TEST_CASE("overload that returns soon counts as one period")
 {
     overload_gate gate;
-    gate.observe(true, start);
-    gate.is_closed(start + seconds{1});
-    gate.observe(false, start + seconds{30});
-    CHECK_FALSE(gate.is_closed(start + seconds{34}));
-    gate.observe(true, start + seconds{35});
-    CHECK(gate.is_closed(start + seconds{36}));
-    CHECK(gate.closed_for(start + seconds{36}) > seconds{30});
+    gate.observe(true, start_time);
+    gate.is_closed(start_time + seconds{1});
+    gate.observe(false, start_time + seconds{30});
+    CHECK_FALSE(gate.is_closed(start_time + seconds{34}));
+    gate.observe(true, start_time + seconds{35});
+    CHECK(gate.is_closed(start_time + seconds{36}));
+    CHECK(gate.closed_for(start_time + seconds{36}) > seconds{30});
 }
 
-TEST_CASE("a prefix is found on the engine that holds most of it")
+TEST_CASE("a prefix lookup prefers the engine that holds most of it")
 {
     prefix_index index(64);
     for (std::uint64_t block : {11, 12, 13}) {
-        index.store(block, 1, start);
+        index.store(block, 1, start_time);
     }
-    index.store(11, 2, start);
-    auto const found = index.find({11, 12, 13, 14}, start);
+    index.store(11, 2, start_time);
+    auto const found = index.find({11, 12, 13, 14}, start_time);
     CHECK(found[0].engine == 1);
     CHECK(found[0].blocks == 3);
     CHECK(found[1].engine == 2);
     CHECK(found[1].blocks == 1);
     index.evict(13, 1);
-    CHECK(index.find({11, 12, 13}, start)[0].blocks == 2);
+    CHECK(index.find({11, 12, 13}, start_time)[0].blocks == 2);
 }
 
-TEST_CASE("the prefix index keeps to its memory")
+TEST_CASE("the prefix index stays within its memory")
 {
     prefix_index index(16);
     std::size_t const before = index.bytes();
     for (std::uint64_t block = 1; block < 10'000; ++block) {
-        index.store(block, block % 5, start);
+        index.store(block, block % 5, start_time);
     }
     CHECK(index.bytes() == before);
-    CHECK(index.find({9'999}, start)[0].engine == 9'999 % 5);
+    CHECK(index.find({9'999}, start_time)[0].engine == 9'999 % 5);
 }
 
-TEST_CASE("lengths are learnt, and a class of long answers not from short ones")
+TEST_CASE("lengths are learned, and overruns count at once")
 {
     length_predictor lengths;
     CHECK(lengths.predict(0, 400) == 100);
@@ -189,40 +190,41 @@
     CHECK(lengths.predict(0, 0) > 70);
 }
 
-TEST_CASE("the link's budget is spent and refilled")
+TEST_CASE("the link budget is consumed and refilled")
 {
     link_budget link(1'000.0);
-    CHECK(link.has_budget(2'000.0, start));
-    link.consume(2'000.0, start);
-    CHECK_FALSE(link.has_budget(500.0, start));
-    CHECK(link.has_budget(500.0, start + seconds{1}));
+    CHECK(link.has_budget(2'000.0, start_time));
+    link.consume(2'000.0, start_time);
+    CHECK_FALSE(link.has_budget(500.0, start_time));
+    CHECK(link.has_budget(500.0, start_time + seconds{1}));
 }
 
-// One connection after the other tells of the same crash. Counted each time,
-// one crash would put an innocent neighbour into quarantine.
-TEST_CASE("one crash counts once, and a second one is proof")
+// Several broken connections report the same crash. Counted each time, one
+// crash would put an innocent request into quarantine.
+TEST_CASE("one crash counts once, and a second one leads to quarantine")
 {
     quarantine suspects;
-    CHECK_FALSE(suspects.record_crash(7, 1, true, start));
-    CHECK_FALSE(suspects.record_crash(7, 1, true, start + milliseconds{5}));
+    CHECK_FALSE(suspects.record_crash(7, 1, true, start_time));
+    CHECK_FALSE(
+        suspects.record_crash(7, 1, true, start_time + milliseconds{5}));
     CHECK(suspects.is_suspect(7));
-    CHECK(suspects.remaining(7, start).count() == 0);
-    CHECK(suspects.record_crash(7, 2, true, start + milliseconds{50}));
-    CHECK(suspects.remaining(7, start + milliseconds{50}).count() > 0);
-    suspects.expire(start + std::chrono::hours{1});
+    CHECK(suspects.remaining(7, start_time).count() == 0);
+    CHECK(suspects.record_crash(7, 2, true, start_time + milliseconds{50}));
+    CHECK(suspects.remaining(7, start_time + milliseconds{50}).count() > 0);
+    suspects.expire(start_time + std::chrono::hours{1});
     CHECK_FALSE(suspects.is_suspect(7));
 }
 
-TEST_CASE("a request that had been streaming is not suspect after one crash")
+TEST_CASE("a request that had been streaming is no suspect after one crash")
 {
     quarantine suspects;
-    suspects.record_crash(7, 1, false, start);
+    suspects.record_crash(7, 1, false, start_time);
     CHECK_FALSE(suspects.is_suspect(7));
-    suspects.record_crash(7, 2, false, start + seconds{10});
+    suspects.record_crash(7, 2, false, start_time + seconds{10});
     CHECK(suspects.is_suspect(7));
 }
 
-TEST_CASE("hosts of a region cut its engines into equal parts")
+TEST_CASE("hosts of a region divide its engines into equal parts")
 {
     double total = 0.0;
     for (std::uint32_t engine = 0; engine < 9; ++engine) {
@@ -236,7 +238,7 @@
     CHECK(total == doctest::Approx(9.0 / 5.0));
 }
 
-TEST_CASE("a service call goes to the emptiest instance of its region")
+TEST_CASE("a service call goes to the least loaded instance of its region")
 {
     service_table services("west");
     model::upstreams listed;
--- a/tests/decide/router_test.cpp
+++ b/tests/decide/router_test.cpp
@@ -20,86 +20,87 @@
     CHECK_FALSE(refused.remedy.empty());
 }
 
-TEST_CASE("what has no room waits here and starts when room is free")
+TEST_CASE("a request without capacity is queued and starts when there is some")
 {
-    session session;
-    session.add_engines(1, 2);
+    router_fixture fixture;
+    fixture.add_engines(1, 2);
     for (std::uint64_t id = 1; id <= 4; ++id) {
-        session.arrive(id, "office");
+        fixture.send_request(id, "office");
     }
-    auto const sent = session.all<decide::dispatch>();
+    auto const sent = fixture.decisions_of<decide::dispatch>();
     REQUIRE(sent.size() < 4);
-    session.end(sent[0].id, sent[0].upstream, decide::attempt_end::complete);
-    CHECK(session.all<decide::dispatch>().size() == sent.size() + 1);
+    fixture.end_attempt(
+        sent[0].id, sent[0].upstream, decide::attempt_end::complete);
+    CHECK(fixture.decisions_of<decide::dispatch>().size() == sent.size() + 1);
 }
 
-TEST_CASE("a higher tier goes ahead of a lower one that came first")
+TEST_CASE("a higher tier overtakes a lower one that arrived first")
 {
-    session session;
-    session.add_engines(1, 1);
-    session.arrive(1, "office");
-    session.arrive(2, "office");
-    session.arrive(3, "counter");
-    session.arrive(4, "counter");
-    auto const sent = session.all<decide::dispatch>();
+    router_fixture fixture;
+    fixture.add_engines(1, 1);
+    fixture.send_request(1, "office");
+    fixture.send_request(2, "office");
+    fixture.send_request(3, "counter");
+    fixture.send_request(4, "counter");
+    auto const sent = fixture.decisions_of<decide::dispatch>();
     REQUIRE(sent.size() >= 1);
-    session.end({1}, sent[0].upstream, decide::attempt_end::complete);
-    for (auto const& one : session.all<decide::dispatch>()) {
+    fixture.end_attempt({1}, sent[0].upstream, decide::attempt_end::complete);
+    for (auto const& one : fixture.decisions_of<decide::dispatch>()) {
         CHECK(one.id != model::request_id{2});
     }
 }
 
-// The engine's connection breaks after it has the request. Whether it ran is
-// not known; the collector must not be charged twice.
-TEST_CASE("work that may run once is not sent again after a broken attempt")
+// The connection breaks after the engine has received the request. Whether it
+// ran is unknown; a second run could charge the client twice.
+TEST_CASE("a non-repeatable request is not sent again after a broken attempt")
 {
-    session session;
-    session.add_engines(2, 4);
-    session.arrive(1, "counter", false);
-    auto const sent = session.all<decide::dispatch>();
+    router_fixture fixture;
+    fixture.add_engines(2, 4);
+    fixture.send_request(1, "counter", false);
+    auto const sent = fixture.decisions_of<decide::dispatch>();
     REQUIRE(sent.size() == 1);
-    session.end({1}, sent[0].upstream, decide::attempt_end::broken);
-    CHECK(session.all<decide::dispatch>().size() == 1);
-    auto const refused = session.all<decide::refuse>();
+    fixture.end_attempt({1}, sent[0].upstream, decide::attempt_end::broken);
+    CHECK(fixture.decisions_of<decide::dispatch>().size() == 1);
+    auto const refused = fixture.decisions_of<decide::refuse>();
     REQUIRE(refused.size() == 1);
     CHECK(refused[0].outcome == model::outcome::unknown);
 }
 
 // An engine crashes in the middle of an answer. The caller sees a pause, then
 // the rest, and no token twice.
-TEST_CASE("a broken answer goes on elsewhere after what was relayed")
+TEST_CASE("a broken answer resumes elsewhere after the relayed tokens")
 {
-    session session;
-    session.add_engines(2, 4);
-    session.arrive(1, "counter");
-    auto const sent = session.all<decide::dispatch>();
+    router_fixture fixture;
+    fixture.add_engines(2, 4);
+    fixture.send_request(1, "counter");
+    auto const sent = fixture.decisions_of<decide::dispatch>();
     REQUIRE(sent.size() == 1);
-    session.tokens({1}, 7);
-    session.end({1}, sent[0].upstream, decide::attempt_end::broken, 7);
-    auto const again = session.all<decide::dispatch>();
+    fixture.relay_tokens({1}, 7);
+    fixture.end_attempt({1}, sent[0].upstream, decide::attempt_end::broken, 7);
+    auto const again = fixture.decisions_of<decide::dispatch>();
     REQUIRE(again.size() == 2);
     CHECK(again[1].resume_offset == 7);
     CHECK(again[1].upstream != sent[0].upstream);
 }
 
-TEST_CASE("a caller that hangs up is cancelled at the engine at once")
+TEST_CASE("a disconnected caller's request is cancelled at the engine")
 {
-    session session;
-    session.add_engines(1, 4);
-    session.arrive(1, "counter");
-    session.handle(decide::request_cancelled{{1}});
-    REQUIRE(session.all<decide::cancel_attempt>().size() == 1);
+    router_fixture fixture;
+    fixture.add_engines(1, 4);
+    fixture.send_request(1, "counter");
+    fixture.handle(decide::request_cancelled{{1}});
+    REQUIRE(fixture.decisions_of<decide::cancel_attempt>().size() == 1);
 }
 
-TEST_CASE("bytes of a peer that are no digest change nothing")
+TEST_CASE("invalid digests from a peer are ignored")
 {
-    session session;
-    session.add_engines(1, 4);
-    session.handle(decide::digest_received{"host-2", {}});
-    session.handle(decide::digest_received{"host-2", {1, 2, 3, 4, 5, 6, 7}});
-    std::vector<std::uint8_t> own = session.router.digest(session.now);
+    router_fixture fixture;
+    fixture.add_engines(1, 4);
+    fixture.handle(decide::digest_received{"host-2", {}});
+    fixture.handle(decide::digest_received{"host-2", {1, 2, 3, 4, 5, 6, 7}});
+    std::vector<std::uint8_t> own = fixture.router.digest(fixture.now);
     own.back() ^= 1;
-    session.handle(decide::digest_received{"host-2", own});
-    session.arrive(1, "counter");
-    CHECK(session.all<decide::dispatch>().size() == 1);
+    fixture.handle(decide::digest_received{"host-2", own});
+    fixture.send_request(1, "counter");
+    CHECK(fixture.decisions_of<decide::dispatch>().size() == 1);
 }
--- a/tests/decide/support.hpp
+++ b/tests/decide/support.hpp
@@ -31,17 +31,17 @@
                                                     lists::entitlement_list{});
 }
 
-/// One router and everything that it has decided.
-struct session
+/// One router and all of its decisions.
+struct router_fixture
 {
-    session()
+    router_fixture()
     {
         handle(decide::lists_changed{small_catalogue()});
     }
 
-    void handle(decide::event const& happened)
+    void handle(decide::event const& input)
     {
-        router.handle(happened, now, out);
+        router.handle(input, now, decisions);
     }
 
     void add_engines(std::size_t count, std::uint32_t slots)
@@ -59,7 +59,8 @@
         handle(decide::tick{});
     }
 
-    decide::request make(std::uint64_t id, std::string const& service_class)
+    decide::request make_request(std::uint64_t id,
+                                 std::string const& service_class)
     {
         decide::request request;
         request.id = {id};
@@ -75,30 +76,30 @@
         return request;
     }
 
-    void arrive(std::uint64_t id,
-                std::string const& service_class,
-                bool repeatable = true)
+    void send_request(std::uint64_t id,
+                      std::string const& service_class,
+                      bool repeatable = true)
     {
-        decide::request request = make(id, service_class);
+        decide::request request = make_request(id, service_class);
         request.repeatable = repeatable;
         handle(decide::request_arrived{request});
     }
 
-    void tokens(model::request_id id, std::uint32_t count)
+    void relay_tokens(model::request_id id, std::uint32_t count)
     {
         handle(decide::tokens_relayed{id, count});
     }
 
-    void end(model::request_id id,
-             std::string const& upstream,
-             decide::attempt_end end,
-             std::uint32_t relayed = 0)
+    void end_attempt(model::request_id id,
+                     std::string const& upstream,
+                     decide::attempt_end end,
+                     std::uint32_t relayed = 0)
     {
         handle(decide::attempt_ended{id, upstream, end, relayed, 0});
     }
 
-    /// Passes time in ticks.
-    void pass(model::milliseconds span)
+    /// Advances the time in ticks.
+    void advance_time(model::milliseconds span)
     {
         model::time_point const until = now + span;
         while (now < until) {
@@ -107,14 +108,14 @@
         }
     }
 
-    /// Every decision of one kind so far.
+    /// All decisions of one type so far.
     template <typename Decision>
-    std::vector<Decision> all() const
+    std::vector<Decision> decisions_of() const
     {
         std::vector<Decision> found;
-        for (decide::decision const& decision_made : out) {
-            if (auto const* one = std::get_if<Decision>(&decision_made)) {
-                found.push_back(*one);
+        for (decide::decision const& item : decisions) {
+            if (auto const* match = std::get_if<Decision>(&item)) {
+                found.push_back(*match);
             }
         }
         return found;
@@ -123,7 +124,7 @@
     decide::router router{{"host-1", "west", "west-a", 1}};
     model::time_point now = model::time_point{} + std::chrono::seconds{100};
     model::upstreams upstreams;
-    std::vector<decide::decision> out;
+    std::vector<decide::decision> decisions;
 };
 
 } // namespace caperjunction::tests
