--- a/src/program/beliefs.cpp
+++ b/src/program/beliefs.cpp
@@ -23,7 +23,7 @@
 
 std::uint64_t beliefs::config_version() const
 {
-    return m_context.table ? m_context.table->lists().version : 0;
+    return m_context.table ? m_context.table->config().version : 0;
 }
 
 void beliefs::apply(proxy::store_item const& item)
@@ -99,7 +99,7 @@
             return there.count(held.first) == 0;
         });
     m_dropped_unseen = m_dropped_unseen || dropped > 0;
-    m_context.directory.keep_only(ids, m_context.loop.now());
+    m_context.directory.retain_only(ids, m_context.loop.now());
 }
 
 void beliefs::merge(proxy::item_list const& list)
@@ -235,9 +235,10 @@
                             std::uint64_t revision)
 {
     auto const before = m_context.directory.find(described.id);
-    bool const is_news = !before || before->about.draining != described.draining
-                         || before->about.started != described.started
-                         || !(before->about.at == described.at);
+    bool const is_news = !before
+                         || before->description.draining != described.draining
+                         || before->description.started != described.started
+                         || !(before->description.at == described.at);
     m_context.directory.put(described);
     if (is_news) {
         runtime::log_line("upstream_changed")
--- a/src/program/peer_lists.cpp
+++ b/src/program/peer_lists.cpp
@@ -24,11 +24,11 @@
     : m_context(context)
     , m_beliefs(own)
     , m_call(std::move(call))
-    , m_upstreams{routing::lane::upstreams,
+    , m_upstreams{routing::list_kind::upstreams,
                   upstreams_path,
                   {},
                   {context.loop, hooks_of(m_upstreams)}}
-    , m_configuration{routing::lane::configuration,
+    , m_configuration{routing::list_kind::configuration,
                       configuration_path,
                       {},
                       {context.loop, hooks_of(m_configuration)}}
@@ -41,9 +41,9 @@
                 return take(path, body);
             },
             [this, &lane](fetch_report const& ended) {
-                lane.turn.rest(ended.progress.bytes,
-                               m_context.peers.nearby(),
-                               m_context.loop.now());
+                lane.turn.back_off(ended.progress.bytes,
+                                   m_context.peers.near_count(),
+                                   m_context.loop.now());
                 m_call.on_ended(ended);
             }};
 }
@@ -77,13 +77,14 @@
     }
     routing::peer_table const& peers = m_context.peers;
     auto const newer = peers.newer_than(m_context.known, lane.lane, m_random());
-    routing::catch_up::facts const about{
-        m_context.table != nullptr, peers.is_reader(), peers.speaks()};
+    routing::fetch_scheduler::host_state const about{m_context.table != nullptr,
+                                                     peers.is_store_watcher(),
+                                                     peers.is_aggregator()};
     if (lane.turn.is_due(newer, about, m_context.loop.now())) {
-        bool const is_whole =
-            lane.lane == routing::lane::configuration && !m_asks_for_difference;
+        bool const is_whole = lane.lane == routing::list_kind::configuration
+                              && !m_asks_for_difference;
         lane.fetcher.ask(*newer.at,
-                         newer.has_one_list ? items_path : lane.path,
+                         newer.sends_combined_list ? items_path : lane.path,
                          is_whole ? 0 : m_context.known.of(lane.lane));
     }
 }
@@ -92,7 +93,7 @@
 {
     return m_upstreams.turn.lag(
         m_context.known.upstreams,
-        m_context.peers.newest(routing::lane::upstreams),
+        m_context.peers.newest(routing::list_kind::upstreams),
         m_context.loop.now());
 }
 
--- a/src/program/peer_lists.hpp
+++ b/src/program/peer_lists.hpp
@@ -5,7 +5,7 @@
 #include "program/beliefs.hpp"
 #include "program/peer_fetcher.hpp"
 #include "proxy/relay_context.hpp"
-#include "routing/catch_up.hpp"
+#include "routing/fetch_scheduler.hpp"
 
 #include <functional>
 #include <random>
@@ -43,9 +43,9 @@
 private:
     struct asking
     {
-        routing::lane lane;
+        routing::list_kind lane;
         char const* path;
-        routing::catch_up turn;
+        routing::fetch_scheduler turn;
         peer_fetcher fetcher;
     };
 
--- a/src/program/routed_host.cpp
+++ b/src/program/routed_host.cpp
@@ -107,7 +107,7 @@
                                    std::uint64_t revision) {
             routing::store_revisions const before = m_context.known;
             m_beliefs.commit(revision);
-            m_context.keys.confirm(as_of);
+            m_context.keys.renew(as_of);
             tell_of_change(before);
         };
         call.on_lost = [this](proxy::store_loss const& loss) {
@@ -144,7 +144,7 @@
     m_context.on_limit_unreadable = [](routing::upstream_state const& from,
                                        std::string const& text) {
         runtime::log_line("upstream_limit_unreadable")
-            .field("upstream", from.about.id)
+            .field("upstream", from.description.id)
             .field("text", text);
     };
     m_context.on_retried = [this](proxy::exchange_report const& tried) {
--- a/src/program/routed_host_log.cpp
+++ b/src/program/routed_host_log.cpp
@@ -38,8 +38,8 @@
         .field("cold_tokens", ended.cold_tokens)
         .field("running", ended.running)
         .field("unread_tokens", ended.unread_tokens)
-        .field("slowness", ended.pace.slowness)
-        .field("paused_ms", ended.pace.pause.count())
+        .field("slowness", ended.pace.slowdown)
+        .field("paused_ms", ended.pace.longest_gap.count())
         .field("lane", ended.lane)
         .field("limited", ended.limited)
         .field("first_byte_ms", ended.first_byte.count())
@@ -87,24 +87,24 @@
 void routed_host::log_limit(routing::upstream_state const& state)
 {
     bool const was_heard_here =
-        state.own_limit.heard_at == state.limit.notice().heard_at;
+        state.own_limit.received_at == state.limit.notice().received_at;
     std::string_view const heard = was_heard_here ? "here" : "from_peers";
     if (!state.limit.is_limited()) {
         runtime::log_line("upstream_limit_ended")
-            .field("upstream", state.about.id)
-            .field("service", state.about.service)
+            .field("upstream", state.description.id)
+            .field("service", state.description.service)
             .field("heard", heard);
         return;
     }
-    routing::limit_place const& place = state.limit.place();
+    routing::limit_share const& place = state.limit.share();
     runtime::log_line("upstream_limited")
-        .field("upstream", state.about.id)
-        .field("service", state.about.service)
+        .field("upstream", state.description.id)
+        .field("service", state.description.service)
         .field("heard", heard)
-        .field("a_second", *state.limit.notice().a_second)
+        .field("a_second", *state.limit.notice().requests_per_second)
         .field("rank", place.rank)
         .field("hosts", place.hosts)
-        .field("is_among_them", place.is_among_them);
+        .field("is_among_them", place.participates);
 }
 
 void routed_host::log_store_lost(proxy::store_loss const& loss)
--- a/src/program/routed_host_peers.cpp
+++ b/src/program/routed_host_peers.cpp
@@ -1,6 +1,6 @@
 #include "program/routed_host.hpp"
 
-#include "routing/watch_pace.hpp"
+#include "routing/watch_wait.hpp"
 #include "runtime/log_line.hpp"
 
 #include <algorithm>
@@ -24,7 +24,7 @@
     m_peers->on_peers_changed([this](std::size_t alive) {
         runtime::log_line("peers_changed")
             .field("alive", alive)
-            .field("most_seen", m_context.peers.most_seen());
+            .field("most_seen", m_context.peers.largest_fleet_seen());
     });
     m_peer_server = std::make_unique<net::admin_server>(
         m_loop, m_settings.relay.peer_listen);
@@ -41,26 +41,28 @@
 void routed_host::tell_of_change(routing::store_revisions const& before)
 {
     bool const is_waited_for =
-        m_context.peers.is_reader() || m_context.peers.speaks();
-    if (m_peers && is_waited_for && !m_context.known.has_changes_of(before)) {
+        m_context.peers.is_store_watcher() || m_context.peers.is_aggregator();
+    if (m_peers && is_waited_for
+        && !m_context.known.has_same_changes_as(before)) {
         m_peers->tell_of_change();
     }
 }
 
 model::milliseconds routed_host::watch_wait()
 {
-    routing::watch_facts facts;
+    routing::watch_inputs facts;
     facts.key_lifetime = m_settings.relay.key_lifetime;
     facts.apply_limit = m_settings.relay.apply_limit;
     facts.peers = m_context.peers.alive();
-    facts.is_shared = facts.peers >= routing::peer_table::least_to_share;
+    facts.is_shared =
+        facts.peers >= routing::peer_table::min_peers_of_large_fleet;
     return routing::watch_wait(
         facts, std::uniform_real_distribution<double>(0.0, 1.0)(m_random));
 }
 
 void routed_host::share_reading()
 {
-    bool const is_reader = m_context.peers.is_reader();
+    bool const is_store_watcher = m_context.peers.is_store_watcher();
     auto const age = m_context.keys.age(m_context.boot_now());
     auto const limit = m_settings.relay.apply_limit / looks_in_time;
     bool const hears_too_little =
@@ -68,7 +70,7 @@
     for (auto const& reader : m_readers) {
         reader->wait(watch_wait());
         reader->skip_to(m_context.known.all());
-        reader->keep_watching(is_reader);
+        reader->keep_watching(is_store_watcher);
         if (hears_too_little) {
             reader->look_once();
         }
--- a/src/proxy/caller.cpp
+++ b/src/proxy/caller.cpp
@@ -31,7 +31,7 @@
 routing::caller_limits const& caller::limits() const
 {
     static routing::caller_limits const s_defaults;
-    return m_context.table ? m_context.table->lists().limits : s_defaults;
+    return m_context.table ? m_context.table->config().limits : s_defaults;
 }
 
 caller::~caller()
--- a/src/proxy/digest_codec.cpp
+++ b/src/proxy/digest_codec.cpp
@@ -28,7 +28,8 @@
 {
     in_addr address{};
     inet_pton(AF_INET, from.at.address.c_str(), &address);
-    return {from.data_centre, ntohl(address.s_addr), from.at.port, from.relays};
+    return {
+        from.data_centre, ntohl(address.s_addr), from.at.port, from.is_gateway};
 }
 
 routing::neighbour from_wire(wire::Neighbour const& from)
@@ -43,24 +44,24 @@
 constexpr double parts_a_second = 1'000.0;
 constexpr std::uint32_t no_limit = std::numeric_limits<std::uint32_t>::max();
 
-wire::Limit to_wire(routing::told_limit const& from)
+wire::Limit to_wire(routing::advertised_limit const& from)
 {
     std::uint32_t parts = no_limit;
-    if (from.a_second) {
-        parts = static_cast<std::uint32_t>(
-            std::min(*from.a_second * parts_a_second, no_limit - 1.0));
+    if (from.requests_per_second) {
+        parts = static_cast<std::uint32_t>(std::min(
+            *from.requests_per_second * parts_a_second, no_limit - 1.0));
     }
     auto const age = std::clamp<std::int64_t>(from.age.count(), 0, no_limit);
     return {from.upstream, parts, static_cast<std::uint32_t>(age)};
 }
 
-routing::told_limit from_wire(wire::Limit const& from)
+routing::advertised_limit from_wire(wire::Limit const& from)
 {
-    routing::told_limit made;
+    routing::advertised_limit made;
     made.upstream = from.upstream();
     made.age = model::milliseconds(from.age_ms());
     if (from.millis_a_second() != no_limit) {
-        made.a_second = from.millis_a_second() / parts_a_second;
+        made.requests_per_second = from.millis_a_second() / parts_a_second;
     }
     return made;
 }
@@ -79,15 +80,15 @@
 wire::Work to_wire(routing::peer_load const& from)
 {
     double const slowness =
-        from.pace.voters == 0
+        from.performance.observers == 0
             ? 0.0
-            : std::max(1.0, from.pace.slowness * slowness_parts);
+            : std::max(1.0, from.performance.slowdown * slowness_parts);
     return {from.upstream,
-            static_cast<std::uint32_t>(from.load.unread_tokens),
+            static_cast<std::uint32_t>(from.load.pending_prefill_tokens),
             bounded(from.load.running),
             bounded(from.load.urgent),
             bounded(slowness),
-            bounded(static_cast<double>(from.pace.pause.count()))};
+            bounded(static_cast<double>(from.performance.longest_gap.count()))};
 }
 
 routing::peer_load from_wire(wire::Work const& from)
@@ -95,10 +96,11 @@
     routing::peer_load made;
     made.upstream = from.upstream();
     made.load = {from.running(), from.unread_tokens(), from.urgent()};
-    made.pace.voters = from.slowness() == 0 ? 0 : 1;
-    made.pace.slowness =
-        made.pace.voters == 0 ? 1.0 : from.slowness() / slowness_parts;
-    made.pace.pause = model::milliseconds(from.pause_ms());
+    made.performance.observers = from.slowness() == 0 ? 0 : 1;
+    made.performance.slowdown = made.performance.observers == 0
+                                    ? 1.0
+                                    : from.slowness() / slowness_parts;
+    made.performance.longest_gap = model::milliseconds(from.pause_ms());
     return made;
 }
 
@@ -139,14 +141,14 @@
         neighbours.push_back(to_wire(item));
     }
     std::vector<wire::Limit> limits;
-    for (routing::told_limit const& item : from.limits) {
+    for (routing::advertised_limit const& item : from.limits) {
         limits.push_back(to_wire(item));
     }
     flatbuffers::FlatBufferBuilder builder;
     auto const limit_list = builder.CreateVectorOfStructs(limits);
     auto const load_list = to_wire(builder, from.loads);
-    auto const sum_list = to_wire(builder, from.sums);
-    auto const beyond_list = to_wire(builder, from.beyond);
+    auto const sum_list = to_wire(builder, from.aggregated_loads);
+    auto const beyond_list = to_wire(builder, from.remote_loads);
     auto const suspect_list = builder.CreateVectorOfStructs(suspects);
     auto const neighbour_list = builder.CreateVectorOfStructs(neighbours);
     wire::DigestBuilder made(builder);
@@ -168,19 +170,20 @@
     made.add_works(load_list);
     made.add_suspects(suspect_list);
     made.add_neighbours(neighbour_list);
-    made.add_hosts_here(from.hosts_here);
+    made.add_hosts_here(from.hosts_in_data_centre);
     made.add_hosts_alive(from.hosts_alive);
-    made.add_centres(from.centres);
-    made.add_relays(from.relays);
-    made.add_asks(from.asks);
+    made.add_centres(from.data_centres);
+    made.add_relays(from.is_gateway);
+    made.add_asks(from.requests_reply);
     // Earlier versions take it for all changes, and confirm keys by it.
-    made.add_revision(std::max(
-        {from.known.upstreams, from.known.configuration, from.known.checked}));
-    made.add_upstreams_revision(from.known.upstreams);
-    made.add_configuration_revision(from.known.configuration);
-    made.add_configuration_checked(from.known.checked);
+    made.add_revision(std::max({from.revisions.upstreams,
+                                from.revisions.configuration,
+                                from.revisions.checked}));
+    made.add_upstreams_revision(from.revisions.upstreams);
+    made.add_configuration_revision(from.revisions.configuration);
+    made.add_configuration_checked(from.revisions.checked);
     made.add_data_centre(from.data_centre);
-    made.add_speaks(from.speaks);
+    made.add_speaks(from.is_aggregator);
     made.add_limits(limit_list);
     made.add_work_sums(sum_list);
     made.add_works_beyond(beyond_list);
@@ -200,11 +203,11 @@
     digest.sequence = from->sequence();
 
     digest.hosts_seen = from->hosts_seen();
-    digest.known = {from->upstreams_revision(),
-                    from->configuration_revision(),
-                    from->configuration_checked()};
-    if (digest.known == routing::store_revisions{}) {
-        digest.known.upstreams = from->revision();
+    digest.revisions = {from->upstreams_revision(),
+                        from->configuration_revision(),
+                        from->configuration_checked()};
+    if (digest.revisions == routing::store_revisions{}) {
+        digest.revisions.upstreams = from->revision();
     }
     frame.stamp = time_of(from->stamp());
     if (from->echoed_stamp() != 0) {
@@ -216,10 +219,10 @@
             std::chrono::microseconds(from->confirmed_age_us());
     }
     digest.data_centre = from->data_centre();
-    digest.speaks = from->speaks();
+    digest.is_aggregator = from->speaks();
     digest.loads = from_wire(from->works());
-    digest.sums = from_wire(from->work_sums());
-    digest.beyond = from_wire(from->works_beyond());
+    digest.aggregated_loads = from_wire(from->work_sums());
+    digest.remote_loads = from_wire(from->works_beyond());
     if (from->suspects() != nullptr) {
         for (wire::Suspect const* const item : *from->suspects()) {
             digest.suspects.push_back({item->fingerprint(), item->crashes()});
@@ -230,11 +233,11 @@
             digest.limits.push_back(from_wire(*item));
         }
     }
-    digest.hosts_here = from->hosts_here();
+    digest.hosts_in_data_centre = from->hosts_here();
     digest.hosts_alive = from->hosts_alive();
-    digest.centres = from->centres();
-    digest.relays = from->relays();
-    digest.asks = from->asks();
+    digest.data_centres = from->centres();
+    digest.is_gateway = from->relays();
+    digest.requests_reply = from->asks();
     if (from->neighbours() != nullptr) {
         for (wire::Neighbour const* const item : *from->neighbours()) {
             digest.neighbours.push_back(from_wire(*item));
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -57,7 +57,7 @@
         refuse(*admitted.refused);
         return;
     }
-    if (!m_context.takes_new(std::min(
+    if (!m_context.accepts_request(std::min(
             m_facts.deadline.value_or(m_route->timeout), m_route->timeout))) {
         refuse(step::stopping);
         return;
@@ -68,14 +68,14 @@
     }
     m_service = routing::route_table::pick_service(
         *m_route, std::hash<std::string>{}(m_facts.id));
-    auto const& routes = m_table->lists().routes;
+    auto const& routes = m_table->config().routes;
     m_is_most_urgent = std::none_of(
         routes.begin(), routes.end(), [&](routing::route const& other) {
-            return other.by_prompt && other.rank < m_route->rank;
+            return other.has_prompt_affinity && other.rank < m_route->rank;
         });
     m_is_least_urgent = std::none_of(
         routes.begin(), routes.end(), [&](routing::route const& other) {
-            return other.by_prompt && other.rank > m_route->rank;
+            return other.has_prompt_affinity && other.rank > m_route->rank;
         });
     m_context.allowance(m_service).record_request();
     auto const patience =
@@ -157,11 +157,11 @@
     m_report.sent = m_state.sent;
     m_report.unreached = m_state.unreached;
     m_report.forecast = m_pick.forecast;
-    m_report.cold_tokens = m_pick.cold_tokens;
+    m_report.cold_tokens = m_pick.uncached_tokens;
     m_report.running = m_pick.running;
-    m_report.unread_tokens = m_pick.unread_tokens;
-    m_report.pace = m_pick.pace;
-    m_report.lane = m_pick.lane;
+    m_report.unread_tokens = m_pick.pending_prefill_tokens;
+    m_report.pace = m_pick.performance;
+    m_report.lane = m_pick.reserved_engines;
     m_report.limited = m_pick.limited;
     m_report.candidates = m_pick.candidates;
     m_report.total = since(m_arrived, m_context.loop.now());
@@ -169,10 +169,10 @@
     m_report.unsent_bytes = m_port.unsent();
     m_report.events = m_events;
     m_report.longest_pause = m_pauses.longest();
-    m_report.config_version = m_table ? m_table->lists().version : 0;
+    m_report.config_version = m_table ? m_table->config().version : 0;
     m_report.config_age = m_context.keys.age(m_context.boot_now());
     if (!m_service.empty()) {
-        m_report.budget_left = m_context.allowance(m_service).left();
+        m_report.budget_left = m_context.allowance(m_service).available();
     }
 }
 
@@ -189,7 +189,7 @@
     m_report.outcome = outcome;
     m_report.on_time = outcome == "served" && m_route != nullptr
                        && m_report.first_byte <= m_route->latency_target
-                       && !m_route->is_pause_too_long(m_pauses.longest());
+                       && !m_route->is_gap_too_long(m_pauses.longest());
     if (m_context.on_ended) {
         m_context.on_ended(m_report);
     }
--- a/src/proxy/exchange.hpp
+++ b/src/proxy/exchange.hpp
@@ -69,10 +69,10 @@
     bool is_still_allowed();
     void send_to(routing::pick const& chosen);
     void arm_silence_timer(routing::pick const& chosen);
-    void try_ended(routing::try_end how);
+    void try_ended(routing::attempt_end how);
     bool is_upstream_silent() const;
-    bool can_try_again(routing::try_end how);
-    bool takes_retry(routing::try_end how);
+    bool can_try_again(routing::attempt_end how);
+    bool takes_retry(routing::attempt_end how);
     void drop_connection();
     model::milliseconds time_left() const;
     std::uint32_t rank() const;
@@ -130,7 +130,7 @@
     routing::pick m_pick;
     model::time_point m_sent_at{};
     std::uint64_t m_unread_tokens = 0;
-    routing::pace_meter::ticket m_waiting = 0;
+    routing::performance_meter::ticket m_waiting = 0;
     bool m_counted = false;
     message_head m_answer;
     std::string m_answer_body;
@@ -138,7 +138,7 @@
     bool m_is_stream = false;
 
     // All tries.
-    routing::try_state m_state;
+    routing::attempt_state m_state;
     std::vector<std::string> m_tried;
     bool m_may_have_run = false;
     std::uint64_t m_fingerprint = 0;
--- a/src/proxy/exchange_answer.cpp
+++ b/src/proxy/exchange_answer.cpp
@@ -8,7 +8,7 @@
 namespace caperjunction::proxy {
 namespace {
 
-using routing::try_end;
+using routing::attempt_end;
 
 constexpr int misdirected = 421;
 constexpr int first_failure = 500;
@@ -60,7 +60,7 @@
     note_limit(m_context, *m_upstream, head);
     if (says_not_run) {
         m_upstream->health.record_failure(m_context.loop.now());
-        try_ended(try_end::not_run);
+        try_ended(attempt_end::not_run);
         return;
     }
     bool const is_ours = is_for_us(head)
@@ -68,7 +68,7 @@
                          && head.find("Content-Encoding") == nullptr;
     if (is_success(head) && !is_ours) {
         m_upstream->health.record_failure(m_context.loop.now());
-        try_ended(try_end::broken);
+        try_ended(attempt_end::broken);
         return;
     }
     bool const is_failure = head.status >= first_failure;
@@ -76,8 +76,8 @@
         m_upstream->health.record_failure(m_context.loop.now());
         // Without another try the upstream's own answer says more than one
         // of ours.
-        if (m_began || can_try_again(try_end::failed)) {
-            try_ended(try_end::failed);
+        if (m_began || can_try_again(attempt_end::failed)) {
+            try_ended(attempt_end::failed);
             return;
         }
     }
@@ -97,12 +97,12 @@
     auto const took =
         std::chrono::duration_cast<model::milliseconds>(now - m_sent_at);
     m_report.wait = took;
-    m_upstream->own_pace.end(m_waiting, now);
+    m_upstream->own_performance.end(m_waiting, now);
     if (m_report.first_byte.count() < 0) {
         m_report.first_byte =
             std::chrono::duration_cast<model::milliseconds>(now - m_arrived);
     }
-    m_upstream->own.unread_tokens -= m_unread_tokens;
+    m_upstream->own.pending_prefill_tokens -= m_unread_tokens;
     m_unread_tokens = 0;
 }
 
@@ -143,17 +143,18 @@
     if (m_ended) {
         return;
     }
-    m_upstream->heard_at = m_context.loop.now();
+    m_upstream->received_at = m_context.loop.now();
     if (m_is_stream) {
         std::uint64_t const before = m_cutter.events();
         std::string_view const whole = m_cutter.feed(bytes);
         if (m_cutter.events() > before) {
             m_events += m_cutter.events() - before;
-            auto const pause = m_pauses.note(m_upstream->heard_at);
+            auto const pause = m_pauses.note(m_upstream->received_at);
             // The first event of a try that goes on after another tells of
             // both.
             if (pause && before > 0) {
-                m_upstream->own_pace.note_pause(*pause, m_upstream->heard_at);
+                m_upstream->own_performance.record_gap(*pause,
+                                                       m_upstream->received_at);
             }
         }
         if (!m_cutter.last_id().empty()) {
@@ -231,8 +232,8 @@
             m_context.suspects.record_crash(fingerprint(), now);
         }
     }
-    try_ended(why == answer_fault::unreachable ? try_end::unreachable
-                                               : try_end::broken);
+    try_ended(why == answer_fault::unreachable ? attempt_end::unreachable
+                                               : attempt_end::broken);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/exchange_place.cpp
+++ b/src/proxy/exchange_place.cpp
@@ -13,7 +13,7 @@
     request.prompt = &m_facts.prompt;
     request.service = m_service;
     request.body_bytes = m_body.size();
-    request.tried = &m_tried;
+    request.attempted = &m_tried;
 
     request.is_most_urgent = m_is_most_urgent;
     request.urgent_streams = m_context.all_urgent_streams(m_service);
@@ -53,12 +53,12 @@
 
 bool exchange::is_quarantined()
 {
-    if (m_context.suspects.is_empty() && m_context.peers.counts_no_crash()) {
+    if (m_context.suspects.is_empty() && m_context.peers.has_no_crashes()) {
         return false;
     }
     return m_context.suspects.crashes_of(fingerprint(), m_context.loop.now())
                + m_context.peers.crashes_of(fingerprint())
-           >= routing::crash_suspects::most_crashes;
+           >= routing::crash_suspects::max_crashes;
 }
 
 std::optional<model::milliseconds> exchange::comes_back_after() const
@@ -66,12 +66,12 @@
     if (m_facts.prompt.tokens == 0) {
         return std::nullopt;
     }
-    routing::overload_facts facts;
+    routing::overload_inputs facts;
     facts.forecast = m_pick.forecast;
     facts.target = m_route->latency_target;
     facts.is_most_urgent = m_is_most_urgent;
     facts.is_least_urgent = m_is_least_urgent;
-    return routing::comes_back_after(facts);
+    return routing::overload_retry_after(facts);
 }
 
 void exchange::place()
@@ -107,7 +107,7 @@
         refuse(step::no_upstream);
         return;
     }
-    refuse(step::limited, m_pick.comes_back);
+    refuse(step::limited, m_pick.retry_after);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/exchange_report.hpp
+++ b/src/proxy/exchange_report.hpp
@@ -2,7 +2,7 @@
 #define CAPERJUNCTION_PROXY_EXCHANGE_REPORT_HPP
 
 #include "model/time.hpp"
-#include "routing/upstream_pace.hpp"
+#include "routing/upstream_performance.hpp"
 
 #include <cstdint>
 #include <string>
@@ -48,7 +48,7 @@
     std::uint32_t cold_tokens = 0;
     std::uint32_t running = 0;
     std::uint64_t unread_tokens = 0;
-    routing::upstream_pace pace;
+    routing::upstream_performance pace;
     std::size_t lane = 0;
     std::size_t candidates = 0;
     /// From arrival; negative: it didn't come to that.
--- a/src/proxy/exchange_send.cpp
+++ b/src/proxy/exchange_send.cpp
@@ -8,7 +8,7 @@
 namespace caperjunction::proxy {
 namespace {
 
-using routing::try_end;
+using routing::attempt_end;
 
 /// A try of a plain request that has been silent for this many latency
 /// targets is tried elsewhere: it is late already, and an upstream that
@@ -41,19 +41,20 @@
 void exchange::send_to(routing::pick const& chosen)
 {
     m_upstream = chosen.to;
-    m_tried.push_back(m_upstream->about.id);
+    m_tried.push_back(m_upstream->description.id);
     m_connection = m_context.pool.take(m_upstream);
     m_sent_at = m_context.loop.now();
     m_unread_tokens = m_facts.prompt.tokens
                       - std::min(m_facts.prompt.tokens,
                                  m_facts.prompt.shared_tokens()
                                      - std::min(m_facts.prompt.shared_tokens(),
-                                                chosen.cold_tokens));
+                                                chosen.uncached_tokens));
     m_upstream->limit.record_send(m_sent_at);
     m_upstream->own.running += 1;
     m_upstream->own.urgent += m_is_most_urgent ? 1 : 0;
-    m_waiting = m_upstream->own_pace.begin(m_sent_at, chosen.usual_forecast);
-    m_upstream->own.unread_tokens += m_unread_tokens;
+    m_waiting =
+        m_upstream->own_performance.begin(m_sent_at, chosen.nominal_forecast);
+    m_upstream->own.pending_prefill_tokens += m_unread_tokens;
     m_context.urgent_streams[m_service] += m_is_most_urgent ? 1 : 0;
     m_counted = true;
     m_answer = {};
@@ -62,7 +63,7 @@
     m_is_stream = false;
 
     upstream_request added;
-    added.instance = m_upstream->about.id;
+    added.instance = m_upstream->description.id;
     added.team = m_team;
     added.time_left = std::max(time_left(), model::milliseconds{1});
     added.rank = m_rank;
@@ -106,10 +107,10 @@
         if (!own || own->m_ended || own->m_report.first_byte.count() >= 0) {
             return;
         }
-        if (own->is_upstream_silent() && own->can_try_again(try_end::silent)
+        if (own->is_upstream_silent() && own->can_try_again(attempt_end::silent)
             && own->is_still_allowed() && own->has_other_place()) {
             own->m_upstream->health.record_failure(own->m_context.loop.now());
-            own->try_ended(try_end::silent);
+            own->try_ended(attempt_end::silent);
             return;
         }
         own->arm_silence_timer(own->m_pick);
@@ -124,8 +125,8 @@
         m_context.urgent_streams[m_service] -= m_is_most_urgent ? 1 : 0;
         m_upstream->own.running -= 1;
         m_upstream->own.urgent -= m_is_most_urgent ? 1 : 0;
-        m_upstream->own_pace.drop(m_waiting);
-        m_upstream->own.unread_tokens -= m_unread_tokens;
+        m_upstream->own_performance.drop(m_waiting);
+        m_upstream->own.pending_prefill_tokens -= m_unread_tokens;
         m_unread_tokens = 0;
     }
     if (auto const connection = std::exchange(m_connection, nullptr)) {
@@ -142,35 +143,35 @@
 bool exchange::is_upstream_silent() const
 {
     return m_route->kind != routing::request_kind::stream
-           || m_context.loop.now() - m_upstream->heard_at
+           || m_context.loop.now() - m_upstream->received_at
                   > m_route->latency_target;
 }
 
-bool exchange::can_try_again(try_end how)
+bool exchange::can_try_again(attempt_end how)
 {
-    routing::try_state after = m_state;
+    routing::attempt_state after = m_state;
     ++after.sent;
-    return routing::may_try_again(*m_route, how, after)
-           && m_context.allowance(m_service).left() >= 1.0;
+    return routing::may_retry(*m_route, how, after)
+           && m_context.allowance(m_service).available() >= 1.0;
 }
 
-bool exchange::takes_retry(try_end how)
+bool exchange::takes_retry(attempt_end how)
 {
-    if (!routing::may_try_again(*m_route, how, m_state)) {
+    if (!routing::may_retry(*m_route, how, m_state)) {
         return false;
     }
     // An upstream that got nothing is no second send.
-    return m_state.sent == 0 || m_context.allowance(m_service).try_take();
+    return m_state.sent == 0 || m_context.allowance(m_service).try_acquire();
 }
 
-void exchange::try_ended(try_end how)
+void exchange::try_ended(attempt_end how)
 {
     bool const had_run = m_may_have_run;
-    if (how == try_end::unreachable) {
+    if (how == attempt_end::unreachable) {
         ++m_state.unreached;
     }
     drop_connection();
-    if (how == try_end::unreachable || how == try_end::not_run) {
+    if (how == attempt_end::unreachable || how == attempt_end::not_run) {
         m_may_have_run = had_run;
     }
     m_state.has_begun = m_began;
@@ -192,8 +193,8 @@
         end("cut", false);
         return;
     }
-    refuse(how == try_end::not_run ? step::upstream_full
-                                   : step::upstream_failed);
+    refuse(how == attempt_end::not_run ? step::upstream_full
+                                       : step::upstream_failed);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/limit_notices.cpp
+++ b/src/proxy/limit_notices.cpp
@@ -17,11 +17,11 @@
            routing::upstream_state& state,
            routing::limit_notice const& notice)
 {
-    bool const is_change = state.limit.note(notice);
+    bool const is_change = state.limit.update(notice);
     if (state.limit.is_limited()) {
-        state.limit.share(context.peers.place_for(
-            routing::upstream_load_key(state.about.id),
-            state.away == routing::distance::same_data_centre));
+        state.limit.set_share(context.peers.limit_share_for(
+            routing::upstream_load_key(state.description.id),
+            state.network_distance == routing::distance::same_data_centre));
     }
     if (is_change && context.on_limit_changed) {
         context.on_limit_changed(state);
@@ -53,10 +53,10 @@
         return;
     }
     std::string const* const line = answer.find(context.names.request_limit);
-    std::optional<double> a_second;
+    std::optional<double> requests_per_second;
     if (line != nullptr) {
-        a_second = parse_request_limit(*line);
-        if (!a_second) {
+        requests_per_second = parse_request_limit(*line);
+        if (!requests_per_second) {
             // What held before holds on: it is in need, and how much is
             // unknown.
             if (context.on_limit_unreadable) {
@@ -66,9 +66,10 @@
         }
     }
     bool const has_worked = answer.find(context.names.seal) != nullptr;
-    bool const says_end = !a_second && has_worked && from.limit.is_limited();
-    if (a_second || says_end) {
-        from.own_limit = {a_second, context.loop.now()};
+    bool const says_end =
+        !requests_per_second && has_worked && from.limit.is_limited();
+    if (requests_per_second || says_end) {
+        from.own_limit = {requests_per_second, context.loop.now()};
         apply(context, from, from.own_limit);
     }
 }
@@ -76,26 +77,27 @@
 void apply_told_limits(relay_context& context)
 {
     context.directory.each([&context](routing::upstream_state& state) {
-        auto const told =
-            context.peers.limit_of(routing::upstream_load_key(state.about.id));
+        auto const told = context.peers.limit_of(
+            routing::upstream_load_key(state.description.id));
         if (told || state.limit.is_limited()) {
             apply(context, state, told.value_or(routing::limit_notice{}));
         }
     });
 }
 
-std::vector<routing::told_limit> limits_to_tell(relay_context const& context)
+std::vector<routing::advertised_limit>
+limits_to_tell(relay_context const& context)
 {
-    std::vector<routing::told_limit> list;
+    std::vector<routing::advertised_limit> list;
     auto const now = context.loop.now();
     context.directory.each([&](routing::upstream_state const& state) {
         routing::limit_notice const& own = state.own_limit;
-        auto const age =
-            std::chrono::duration_cast<model::milliseconds>(now - own.heard_at);
-        bool const was_said = own.heard_at != model::time_point{};
+        auto const age = std::chrono::duration_cast<model::milliseconds>(
+            now - own.received_at);
+        bool const was_said = own.received_at != model::time_point{};
         if (was_said && age < told_for && list.size() < most_told) {
-            list.push_back({routing::upstream_load_key(state.about.id),
-                            own.a_second,
+            list.push_back({routing::upstream_load_key(state.description.id),
+                            own.requests_per_second,
                             age});
         }
     });
--- a/src/proxy/limit_notices.hpp
+++ b/src/proxy/limit_notices.hpp
@@ -24,7 +24,8 @@
 void apply_told_limits(relay_context& context);
 
 /// What this host's own answers have said, for the others.
-std::vector<routing::told_limit> limits_to_tell(relay_context const& context);
+std::vector<routing::advertised_limit>
+limits_to_tell(relay_context const& context);
 
 } // namespace caperjunction::proxy
 
--- a/src/proxy/peer_link.cpp
+++ b/src/proxy/peer_link.cpp
@@ -86,14 +86,17 @@
     routing::peer_digest& digest = frame.digest;
     digest.generation = m_generation;
     digest.sequence = ++m_sequence;
-    digest.known = m_context.known;
+    digest.revisions = m_context.known;
     digest.data_centre = m_context.settings.data_centre;
     auto const now = m_context.loop.now();
     m_context.directory.each([&](routing::upstream_state const& state) {
-        routing::upstream_pace const pace = state.own_pace.pace(now);
-        if (state.own.running > 0 || pace.voters > 0) {
+        routing::upstream_performance const pace =
+            state.own_performance.performance(now);
+        if (state.own.running > 0 || pace.observers > 0) {
             digest.loads.push_back(
-                {routing::upstream_load_key(state.about.id), state.own, pace});
+                {routing::upstream_load_key(state.description.id),
+                 state.own,
+                 pace});
         }
     });
     for (auto const& [service, count] : m_context.urgent_streams) {
@@ -103,8 +106,8 @@
         }
     }
     digest.limits = limits_to_tell(m_context);
-    digest.suspects =
-        m_context.suspects.to_tell(most_suspects, m_context.loop.now());
+    digest.suspects = m_context.suspects.suspects_to_send(most_suspects,
+                                                          m_context.loop.now());
     frame.stamp = m_context.boot_now();
     if (auto const as_of = m_context.keys.as_of()) {
         frame.confirmed_age =
@@ -117,12 +120,13 @@
 void peer_link::tell_of_change()
 {
     // Hosts that all watch for themselves need no word of it.
-    if (m_context.peers.alive() < routing::peer_table::least_to_share) {
+    if (m_context.peers.alive()
+        < routing::peer_table::min_peers_of_large_fleet) {
         return;
     }
     m_context.loop.cancel(m_change_timer);
     m_change_timer = m_context.loop.after(model::milliseconds{0}, [this] {
-        tell_all(m_context.peers.audience_of_change(
+        tell_all(m_context.peers.recipients_of_change(
                      m_context.loop.now(), m_context.known, m_random()),
                  own_frame());
     });
@@ -134,30 +138,31 @@
     auto const now = m_context.loop.now();
     peers.forget_silent(now);
     digest_frame const frame = own_frame();
-    bool const is_news = m_news.is_news(frame.digest.loads, now);
-    auto const audience = peers.audience(now, m_context.known, is_news);
+    bool const is_news = m_news.has_significant_change(frame.digest.loads, now);
+    auto const audience = peers.recipients(now, m_context.known, is_news);
     if (is_news) {
-        m_news.told(frame.digest.loads, now);
+        m_news.record_advertised(frame.digest.loads, now);
     }
     tell_all(audience, frame);
     apply_loads();
     model::milliseconds const by_size{static_cast<std::int64_t>(
-        1'000.0 * static_cast<double>(peers.nearby()) / most_heard_a_second)};
+        1'000.0 * static_cast<double>(peers.near_count())
+        / most_heard_a_second)};
     m_timer = m_context.loop.after(std::max(shortest_period, by_size), [this] {
         tell();
     });
 }
 
 void peer_link::tell_all(
-    std::vector<routing::peer_table::listener> const& audience,
+    std::vector<routing::peer_table::recipient> const& audience,
     digest_frame frame)
 {
-    routing::fleet_news const news =
-        m_context.peers.news(std::move(frame.digest));
+    routing::digest_set const news =
+        m_context.peers.make_digests(std::move(frame.digest));
     for (auto const& to : audience) {
-        frame.digest = news.of(to.what);
-        frame.digest.asks = to.asks;
-        if (to.wants_names) {
+        frame.digest = news.of(to.kind);
+        frame.digest.requests_reply = to.requests_reply;
+        if (to.wants_neighbours) {
             frame.digest.neighbours = m_context.peers.neighbours_for(
                 to.at, most_neighbours_told, m_random());
         }
@@ -218,12 +223,12 @@
     // The sender had our stamp for `echo_held` when it said how old its
     // belief was: that moment is no earlier than the stamp and that time.
     if (frame->echoed && frame->confirmed_age && *frame->echoed <= now) {
-        frame->digest.confirmed =
+        frame->digest.confirmed_at =
             *frame->echoed + frame->echo_held - *frame->confirmed_age;
     }
     confirm_by(frame->digest, now);
-    m_context.peers.hear(from, frame->digest, m_context.loop.now());
-    routing::store_revisions const& told = frame->digest.known;
+    m_context.peers.record_digest(from, frame->digest, m_context.loop.now());
+    routing::store_revisions const& told = frame->digest.revisions;
     bool const knows_more =
         told.upstreams > m_context.known.upstreams
         || told.configuration > m_context.known.configuration;
@@ -236,23 +241,23 @@
                            model::time_point now)
 {
     routing::store_revisions& known = m_context.known;
-    if (!known.covers_configuration(told.known)) {
+    if (!known.covers_configuration(told.revisions)) {
         return;
     }
-    known.checked = std::max(known.checked, told.known.checked);
-    if (told.confirmed) {
-        m_context.keys.confirm(std::min(*told.confirmed, now));
+    known.checked = std::max(known.checked, told.revisions.checked);
+    if (told.confirmed_at) {
+        m_context.keys.renew(std::min(*told.confirmed_at, now));
     }
 }
 
 void peer_link::apply_loads()
 {
-    m_context.peers.add_up();
+    m_context.peers.aggregate();
     m_context.directory.each([this](routing::upstream_state& state) {
-        auto const told =
-            m_context.peers.load_of(routing::upstream_load_key(state.about.id));
+        auto const told = m_context.peers.load_of(
+            routing::upstream_load_key(state.description.id));
         state.others = told.load;
-        state.others_pace = told.pace;
+        state.others_performance = told.performance;
     });
     apply_told_limits(m_context);
     if (m_alive != m_context.peers.alive()) {
--- a/src/proxy/peer_link.hpp
+++ b/src/proxy/peer_link.hpp
@@ -3,7 +3,7 @@
 
 #include "proxy/digest_codec.hpp"
 #include "proxy/relay_context.hpp"
-#include "routing/load_news.hpp"
+#include "routing/load_change_detector.hpp"
 #include "routing/peer_table.hpp"
 
 #include <cstdint>
@@ -55,7 +55,7 @@
     };
 
     void tell();
-    void tell_all(std::vector<routing::peer_table::listener> const& audience,
+    void tell_all(std::vector<routing::peer_table::recipient> const& audience,
                   digest_frame frame);
     void send_to(model::endpoint const& to, digest_frame& frame);
     void hear();
@@ -73,7 +73,7 @@
     std::uint64_t m_sequence = 0;
     std::minstd_rand m_random;
     std::map<std::string, echo> m_echoes;
-    routing::load_news m_news;
+    routing::load_change_detector m_news;
     std::size_t m_alive = 0;
     std::function<void(std::size_t)> m_on_changed;
     std::function<void()> m_on_heard;
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -136,7 +136,7 @@
     m_context.is_stopping = true;
     m_on_stopped = std::move(on_stopped);
     m_context.stop_began = signalled;
-    auto const left = m_context.settings.stop_limit - routing::last_moment
+    auto const left = m_context.settings.stop_limit - routing::final_write_time
                       - m_context.since_stop();
     m_stop_limit = m_context.loop.after(left, [this] {
         end_stop();
@@ -147,7 +147,7 @@
 {
     // The limit may have been shortened since the signal.
     if (m_context.since_stop()
-            > m_context.settings.stop_limit - routing::last_moment
+            > m_context.settings.stop_limit - routing::final_write_time
         && !m_is_ending) {
         end_stop();
         return;
--- a/src/proxy/relay_context.hpp
+++ b/src/proxy/relay_context.hpp
@@ -8,10 +8,10 @@
 #include "proxy/upstream_pool.hpp"
 #include "proxy/wire_names.hpp"
 #include "routing/crash_suspects.hpp"
-#include "routing/freshness.hpp"
+#include "routing/key_lease.hpp"
 #include "routing/peer_table.hpp"
 #include "routing/picker.hpp"
-#include "routing/retry_allowance.hpp"
+#include "routing/retry_budget.hpp"
 #include "routing/route_table.hpp"
 #include "routing/stop_rule.hpp"
 #include "routing/upstream_directory.hpp"
@@ -34,7 +34,7 @@
     relay_settings settings;
     /// A clock that counts the time that the host was suspended.
     std::function<model::time_point()> boot_now;
-    routing::freshness keys;
+    routing::key_lease keys;
     /// Null until a configuration is known.
     std::shared_ptr<routing::route_table const> table;
     routing::store_revisions known;
@@ -43,7 +43,7 @@
     upstream_pool pool;
     routing::peer_table peers;
     routing::crash_suspects suspects;
-    std::map<std::string, routing::retry_allowance> allowances;
+    std::map<std::string, routing::retry_budget> allowances;
     /// Most urgent streams that this host runs, by service.
     std::map<std::string, std::uint32_t> urgent_streams;
     /// Called when a request is tried again, before the next try.
@@ -93,10 +93,10 @@
     }
 
     /// Whether a request that may take `longest` is taken now.
-    bool takes_new(model::milliseconds longest) const
+    bool accepts_request(model::milliseconds longest) const
     {
         return !is_stopping
-               || routing::takes_new(
+               || routing::accepts_request(
                    since_stop(), settings.stop_limit, longest);
     }
 
@@ -115,14 +115,15 @@
     {
         constexpr double assumed_hosts = 27.0;
         constexpr double spent_at_once = 0.8;
-        bool const is_alone = peers.most_seen() < 2;
+        bool const is_alone = peers.largest_fleet_seen() < 2;
         double const hosts =
-            is_alone ? assumed_hosts : static_cast<double>(peers.most_seen());
+            is_alone ? assumed_hosts
+                     : static_cast<double>(peers.largest_fleet_seen());
         return std::max(1.0, settings.retry_extra * spent_at_once / hosts);
     }
 
     /// The budget of second sends to `service`.
-    routing::retry_allowance& allowance(std::string const& service)
+    routing::retry_budget& allowance(std::string const& service)
     {
         double const burst = retry_burst();
         auto& found =
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -32,13 +32,14 @@
         }
     }
     ++m_opened;
-    return std::make_shared<upstream_connection>(m_loop, upstream->about.at);
+    return std::make_shared<upstream_connection>(m_loop,
+                                                 upstream->description.at);
 }
 
 void upstream_pool::give_back(routing::upstream_ptr const& upstream,
                               std::shared_ptr<upstream_connection> connection)
 {
-    if (!is_usable(*connection) || upstream->gone) {
+    if (!is_usable(*connection) || upstream->is_retired) {
         connection->close();
         return;
     }
@@ -51,7 +52,7 @@
 {
     for (auto item = m_kept.begin(); item != m_kept.end();) {
         auto& free = item->second.free;
-        bool const is_gone = item->second.upstream->gone;
+        bool const is_gone = item->second.upstream->is_retired;
         auto const stale = std::partition(
             free.begin(), free.end(), [&](auto const& connection) {
                 return !is_gone && is_usable(*connection);
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 admission admit(route_table const* table,
-                freshness const& confirmed,
+                key_lease const& lease,
                 admission_request const& request)
 {
     if (table == nullptr) {
@@ -24,18 +24,18 @@
     if (made.route == nullptr) {
         return refused(refusal_reason::no_route);
     }
-    if (made.route->open || table->lists().teams.empty()) {
+    if (made.route->is_public || table->config().teams.empty()) {
         return made;
     }
     // Before the look-up: a stale host knows neither keys that were taken
     // away nor keys that were given.
-    if (!confirmed.may_use_keys(request.now)) {
+    if (!lease.is_valid(request.now)) {
         return refused(refusal_reason::keys_stale);
     }
     if (request.key.empty()) {
         return refused(refusal_reason::key_missing);
     }
-    made.team = table->holder(request.key);
+    made.team = table->find_team(request.key);
     if (made.team == nullptr) {
         return refused(refusal_reason::key_unknown);
     }
--- a/src/routing/admission.hpp
+++ b/src/routing/admission.hpp
@@ -2,7 +2,7 @@
 #define CAPERJUNCTION_ROUTING_ADMISSION_HPP
 
 #include "model/time.hpp"
-#include "routing/freshness.hpp"
+#include "routing/key_lease.hpp"
 #include "routing/refusal.hpp"
 #include "routing/route_table.hpp"
 
@@ -37,7 +37,7 @@
 /// \pre Pointers in the result are valid as long as `table`.
 /// Thread safety: any thread.
 admission admit(route_table const* table,
-                freshness const& confirmed,
+                key_lease const& lease,
                 admission_request const& request);
 
 } // namespace caperjunction::routing
--- a/src/routing/crash_suspects.cpp
+++ b/src/routing/crash_suspects.cpp
@@ -7,7 +7,7 @@
 void crash_suspects::record_crash(std::uint64_t fingerprint,
                                   model::time_point now)
 {
-    if (m_known.size() >= most_known) {
+    if (m_known.size() >= max_tracked) {
         std::erase_if(m_known, [now](auto const& item) {
             return now - item.second.last > memory || item.second.crashes == 1;
         });
@@ -26,8 +26,9 @@
                : found->second.crashes;
 }
 
-std::vector<crash_suspect> crash_suspects::to_tell(std::size_t most,
-                                                   model::time_point now) const
+std::vector<crash_suspect>
+crash_suspects::suspects_to_send(std::size_t max_count,
+                                 model::time_point now) const
 {
     std::vector<crash_suspect> list;
     for (auto const& [fingerprint, known] : m_known) {
@@ -39,7 +40,7 @@
         return a.crashes != b.crashes ? a.crashes > b.crashes
                                       : a.fingerprint < b.fingerprint;
     });
-    list.resize(std::min(list.size(), most));
+    list.resize(std::min(list.size(), max_count));
     return list;
 }
 
--- a/src/routing/crash_suspects.hpp
+++ b/src/routing/crash_suspects.hpp
@@ -23,7 +23,7 @@
 {
 public:
     /// Breaks, over all hosts, from which on a request isn't sent.
-    static constexpr std::uint32_t most_crashes = 3;
+    static constexpr std::uint32_t max_crashes = 3;
 
     /// The upstream broke while it had the request.
     void record_crash(std::uint64_t fingerprint, model::time_point now);
@@ -44,8 +44,8 @@
                              model::time_point now) const;
 
     /// What to tell the others, the worst first, at most `most`.
-    std::vector<crash_suspect> to_tell(std::size_t most,
-                                       model::time_point now) const;
+    std::vector<crash_suspect> suspects_to_send(std::size_t max_count,
+                                                model::time_point now) const;
 
 private:
     struct record
@@ -56,7 +56,7 @@
 
     /// A caller comes back within seconds; a day's breaks are no evidence.
     static constexpr std::chrono::seconds memory{120};
-    static constexpr std::size_t most_known = 4'096;
+    static constexpr std::size_t max_tracked = 4'096;
 
     std::unordered_map<std::uint64_t, record> m_known;
 };
--- a/src/routing/catch_up.hpp
+++ b/src/routing/fetch_scheduler.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_ROUTING_CATCH_UP_HPP
-#define CAPERJUNCTION_ROUTING_CATCH_UP_HPP
+#ifndef CAPERJUNCTION_ROUTING_FETCH_SCHEDULER_HPP
+#define CAPERJUNCTION_ROUTING_FETCH_SCHEDULER_HPP
 
 #include "model/endpoint.hpp"
 #include "model/time.hpp"
@@ -17,22 +17,22 @@
 /// refuses one host alone, and for starts while it is away.
 ///
 /// Thread safety: none; owned by one task.
-class catch_up
+class fetch_scheduler
 {
 public:
-    struct facts
+    struct host_state
     {
         /// A configuration is in force.
         bool has_configuration = false;
         /// This host watches the store for others.
-        bool is_reader = false;
+        bool is_store_watcher = false;
         /// It brings changes into its data centre.
-        bool speaks = false;
+        bool is_aggregator = false;
     };
 
     /// Whether to ask `newer` now, which may be nobody.
     bool is_due(peer_table::source const& newer,
-                facts const& about,
+                host_state const& host,
                 model::time_point now);
 
     /// A list of `bytes` has come, which `nearby` hosts need too.
@@ -40,7 +40,9 @@
     /// Those that have it may have narrow links. Asked for again at once while
     /// thousands of entries come in a row, these would be full with lists, and
     /// callers would wait for their answers.
-    void rest(std::size_t bytes, std::size_t nearby, model::time_point now);
+    void back_off(std::size_t bytes,
+                  std::size_t nearby_hosts,
+                  model::time_point now);
 
     /// For how long a change has been known to be there that this host, which
     /// has all up to `own`, lacks; `newest` is the newest of others.
@@ -48,13 +50,13 @@
     lag(std::uint64_t own, std::uint64_t newest, model::time_point now);
 
 private:
-    static model::milliseconds patience(peer_table::source const& newer,
-                                        facts const& about);
+    static model::milliseconds fetch_delay(peer_table::source const& newer,
+                                           host_state const& host);
 
-    std::optional<model::time_point> m_since;
-    model::time_point m_rests_until{};
-    std::uint64_t m_lacked = 0;
-    model::time_point m_lacked_since{};
+    std::optional<model::time_point> m_source_seen_at;
+    model::time_point m_backed_off_until{};
+    std::uint64_t m_missing = 0;
+    model::time_point m_missing_since{};
 };
 
 } // namespace caperjunction::routing
--- a/src/routing/freshness.hpp
+++ b/src/routing/key_lease.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_ROUTING_FRESHNESS_HPP
-#define CAPERJUNCTION_ROUTING_FRESHNESS_HPP
+#ifndef CAPERJUNCTION_ROUTING_KEY_LEASE_HPP
+#define CAPERJUNCTION_ROUTING_KEY_LEASE_HPP
 
 #include "model/time.hpp"
 
@@ -18,11 +18,11 @@
 /// Times are of a clock that counts suspended time (CLOCK_BOOTTIME).
 ///
 /// Thread safety: none; owned by one task.
-class freshness
+class key_lease
 {
 public:
     /// \pre lifetime is above zero.
-    explicit freshness(model::milliseconds lifetime)
+    explicit key_lease(model::milliseconds lifetime)
         : m_lifetime(lifetime)
     {
     }
@@ -33,7 +33,7 @@
     }
 
     /// The store answered with all changes up to `as_of`, at the latest.
-    void confirm(model::time_point as_of)
+    void renew(model::time_point as_of)
     {
         if (!m_as_of || *m_as_of < as_of) {
             m_as_of = as_of;
@@ -41,7 +41,7 @@
     }
 
     /// Whether a request that was sent at `now` or earlier may use a key.
-    bool may_use_keys(model::time_point now) const
+    bool is_valid(model::time_point now) const
     {
         return m_as_of && now - *m_as_of < m_lifetime - margin;
     }
--- a/src/routing/overload_rule.hpp
+++ b/src/routing/overload_rule.hpp
@@ -9,7 +9,7 @@
 namespace caperjunction::routing {
 
 /// What decides whether a prompt is taken under overload.
-struct overload_facts
+struct overload_inputs
 {
     /// Time to its first event at the best engine.
     model::milliseconds forecast{0};
@@ -24,12 +24,12 @@
 {
     /// Forecasts are short under overload: a prompt of the least urgent kind
     /// that is expected later than this is late.
-    double allowed_share = 0.6;
+    double max_share_least_urgent = 0.6;
     /// Engines take the more urgent first: those wait for less than is
     /// forecast.
-    double allowed_share_of_middle = 1.25;
+    double max_share_medium_urgency = 1.25;
     /// Bounds of the time after which a caller is told to come back.
-    model::milliseconds soonest{300};
+    model::milliseconds min_retry_after{300};
     model::milliseconds latest{2'000};
 };
 
@@ -42,20 +42,22 @@
 /// less is answered. The least urgent are turned away first, as long as
 /// nothing of them is on an engine, and told when the queue will have shrunk.
 inline std::optional<model::milliseconds>
-comes_back_after(overload_facts const& facts,
-                 overload_limits const& limits = {})
+overload_retry_after(overload_inputs const& inputs,
+                     overload_limits const& limits = {})
 {
-    if (facts.is_most_urgent) {
+    if (inputs.is_most_urgent) {
         return std::nullopt;
     }
-    double const share = facts.is_least_urgent ? limits.allowed_share
-                                               : limits.allowed_share_of_middle;
+    double const share = inputs.is_least_urgent
+                             ? limits.max_share_least_urgent
+                             : limits.max_share_medium_urgency;
     auto const allowed =
-        std::chrono::duration_cast<model::milliseconds>(facts.target * share);
-    if (facts.forecast <= allowed) {
+        std::chrono::duration_cast<model::milliseconds>(inputs.target * share);
+    if (inputs.forecast <= allowed) {
         return std::nullopt;
     }
-    return std::clamp(facts.forecast - allowed, limits.soonest, limits.latest);
+    return std::clamp(
+        inputs.forecast - allowed, limits.min_retry_after, limits.latest);
 }
 
 } // namespace caperjunction::routing
--- a/src/routing/peer_digest.hpp
+++ b/src/routing/peer_digest.hpp
@@ -22,7 +22,7 @@
     /// Hash of the upstream's id, or `urgent_load_key` of the service.
     std::uint32_t upstream = 0;
     upstream_load load;
-    upstream_pace pace;
+    upstream_performance performance;
 };
 
 /// Under which loads tell of the upstream `id`. Two of some thousand share a
@@ -48,12 +48,12 @@
 };
 
 /// What an upstream has said to a host of the requests that it takes.
-struct told_limit
+struct advertised_limit
 {
     /// As `upstream_load_key` gives it.
     std::uint32_t upstream = 0;
     /// Requests a second; nothing: as many as come.
-    std::optional<double> a_second;
+    std::optional<double> requests_per_second;
     /// Since it said so.
     model::milliseconds age{0};
 };
@@ -65,7 +65,7 @@
     /// Hash of its data centre's name.
     std::uint64_t data_centre = 0;
     /// It speaks to other data centres for its own.
-    bool relays = false;
+    bool is_gateway = false;
 };
 
 /// What one host tells another several times a second.
@@ -74,41 +74,41 @@
     /// Differs with each start of the sender.
     std::uint64_t generation = 0;
     std::uint64_t sequence = 0;
-    store_revisions known;
+    store_revisions revisions;
     /// As of when the store had no newer configuration than `known` names, on
     /// the receiver's clock; nothing if that can't be told.
-    std::optional<model::time_point> confirmed;
+    std::optional<model::time_point> confirmed_at;
     /// Hosts that the sender has known at one time.
     std::uint32_t hosts_seen = 0;
     /// Hash of the name of the sender's data centre.
     std::uint64_t data_centre = 0;
     /// Hosts of the sender's data centre that it hears, with itself.
-    std::uint32_t hosts_here = 0;
+    std::uint32_t hosts_in_data_centre = 0;
     /// All hosts that are there, and their data centres, as the sender counts
     /// them; from one that relays it is more than its neighbours hear.
     std::uint32_t hosts_alive = 0;
-    std::uint32_t centres = 0;
+    std::uint32_t data_centres = 0;
     /// The sender is one of those that exchange beliefs between data centres.
-    bool relays = false;
+    bool is_gateway = false;
     /// The sender has not heard the receiver and wants an answer.
-    bool asks = false;
+    bool requests_reply = false;
     /// Told to hosts nearby: what the sender itself has sent.
     std::vector<peer_load> loads;
     /// The sender speaks for its data centre.
-    bool speaks = false;
+    bool is_aggregator = false;
     /// Told to those that speak for other data centres: what all hosts of the
     /// sender's have sent.
-    std::vector<peer_load> sums;
+    std::vector<peer_load> aggregated_loads;
     /// Told by the one that speaks to hosts nearby: what all hosts of all
     /// other data centres have sent.
-    std::vector<peer_load> beyond;
+    std::vector<peer_load> remote_loads;
     /// Told to hosts nearby: those of the sender, and from one that speaks for
     /// its data centre those of all others; told to those that speak for other
     /// data centres: those of the sender's.
     std::vector<crash_suspect> suspects;
     /// What upstreams have said of the requests that they take, told to whom
     /// `suspects` are told.
-    std::vector<told_limit> limits;
+    std::vector<advertised_limit> limits;
     /// Other hosts that the sender hears and that concern the receiver.
     std::vector<neighbour> neighbours;
 };
--- a/src/routing/peer_loads.cpp
+++ b/src/routing/peer_loads.cpp
@@ -14,7 +14,7 @@
         peer_load& total = sum[item.upstream];
         total.upstream = item.upstream;
         total.load.add(item.load);
-        total.pace.merge(item.pace);
+        total.performance.merge(item.performance);
     }
 }
 
@@ -41,7 +41,7 @@
 /// under load, each crash makes every request there a suspect: 900 of them,
 /// told several times a second, filled links of 10 Mbit/s, and loads and
 /// changes were lost with them.
-constexpr std::size_t most_suspects_told = 64;
+constexpr std::size_t max_suspects_sent = 64;
 
 /// The worst ones.
 std::vector<crash_suspect> listed(crash_counts const& sum)
@@ -56,7 +56,7 @@
                                       : a.fingerprint < b.fingerprint;
     };
     std::sort(list.begin(), list.end(), worse);
-    list.resize(std::min(list.size(), most_suspects_told));
+    list.resize(std::min(list.size(), max_suspects_sent));
     return list;
 }
 
@@ -64,124 +64,126 @@
 
 // Two of one data centre may both think that they speak for it, while one of
 // them is new: the one that hears more hosts is counted.
-std::vector<peer_table::peer const*> peer_table::far_speakers() const
+std::vector<peer_table::peer const*> peer_table::remote_aggregators() const
 {
-    std::map<std::uint64_t, peer const*> of_centre;
+    std::map<std::uint64_t, peer const*> by_data_centre;
     for (auto const& [address, known] : m_peers) {
-        if (!known.is_heard || is_near(known) || !known.told.speaks) {
+        if (!known.is_live || is_near(known) || !known.digest.is_aggregator) {
             continue;
         }
-        peer const*& best = of_centre[known.told.data_centre];
-        if (best == nullptr || best->told.hosts_here < known.told.hosts_here) {
+        peer const*& best = by_data_centre[known.digest.data_centre];
+        if (best == nullptr
+            || best->digest.hosts_in_data_centre
+                   < known.digest.hosts_in_data_centre) {
             best = &known;
         }
     }
     std::vector<peer const*> list;
-    list.reserve(of_centre.size());
-    for (auto const& [centre, speaker] : of_centre) {
-        list.push_back(speaker);
+    list.reserve(by_data_centre.size());
+    for (auto const& [data_centre, aggregator] : by_data_centre) {
+        list.push_back(aggregator);
     }
     return list;
 }
 
 std::vector<peer_load>
-peer_table::sums_with(std::vector<peer_load> const& own) const
+peer_table::aggregate_with(std::vector<peer_load> const& own) const
 {
     load_sums sum;
     add(sum, own);
     for (auto const& [address, known] : m_peers) {
         if (is_near(known)) {
-            add(sum, known.told.loads);
+            add(sum, known.digest.loads);
         }
     }
     return listed(sum);
 }
 
-std::vector<peer_load> peer_table::beyond() const
+std::vector<peer_load> peer_table::remote_loads() const
 {
     load_sums sum;
-    for (peer const* const speaker : far_speakers()) {
-        add(sum, speaker->told.sums);
+    for (peer const* const aggregator : remote_aggregators()) {
+        add(sum, aggregator->digest.aggregated_loads);
     }
     return listed(sum);
 }
 
-std::vector<crash_suspect> peer_table::suspects_here() const
+std::vector<crash_suspect> peer_table::local_suspects() const
 {
     crash_counts sum;
     for (auto const& [address, known] : m_peers) {
         // What one that speaks tells here is already of other data centres.
-        if (is_near(known) && !known.told.speaks) {
-            add(sum, known.told.suspects);
+        if (is_near(known) && !known.digest.is_aggregator) {
+            add(sum, known.digest.suspects);
         }
     }
     return listed(sum);
 }
 
-std::vector<crash_suspect> peer_table::suspects_beyond() const
+std::vector<crash_suspect> peer_table::remote_suspects() const
 {
     crash_counts sum;
-    for (peer const* const speaker : far_speakers()) {
-        add(sum, speaker->told.suspects);
+    for (peer const* const aggregator : remote_aggregators()) {
+        add(sum, aggregator->digest.suspects);
     }
     return listed(sum);
 }
 
-fleet_news peer_table::news(peer_digest own) const
+digest_set peer_table::make_digests(peer_digest own) const
 {
-    own.hosts_seen = static_cast<std::uint32_t>(m_most_seen);
-    own.hosts_here = static_cast<std::uint32_t>(m_here + 1);
-    own.hosts_alive = static_cast<std::uint32_t>(m_fleet);
-    own.centres = static_cast<std::uint32_t>(m_centres);
-    own.relays = relays();
-    own.speaks = speaks();
-    fleet_news made{own, own, own};
-    made.sums.loads.clear();
-    made.beliefs.loads.clear();
-    if (!own.speaks) {
+    own.hosts_seen = static_cast<std::uint32_t>(m_largest_fleet_seen);
+    own.hosts_in_data_centre = static_cast<std::uint32_t>(m_local_peers + 1);
+    own.hosts_alive = static_cast<std::uint32_t>(m_fleet_size);
+    own.data_centres = static_cast<std::uint32_t>(m_data_centre_count);
+    own.is_gateway = is_gateway();
+    own.is_aggregator = is_aggregator();
+    digest_set made{own, own, own};
+    made.aggregated_loads.loads.clear();
+    made.presence.loads.clear();
+    if (!own.is_aggregator) {
         return made;
     }
-    made.sums.sums = sums_with(own.loads);
-    made.loads.beyond = beyond();
+    made.aggregated_loads.aggregated_loads = aggregate_with(own.loads);
+    made.loads.remote_loads = remote_loads();
     auto const append = [](auto& to, auto const& more) {
         to.insert(to.end(), more.begin(), more.end());
     };
-    append(made.sums.suspects, suspects_here());
-    append(made.loads.suspects, suspects_beyond());
-    append(made.sums.limits, limits_here());
-    append(made.loads.limits, limits_beyond());
+    append(made.aggregated_loads.suspects, local_suspects());
+    append(made.loads.suspects, remote_suspects());
+    append(made.aggregated_loads.limits, local_limits());
+    append(made.loads.limits, remote_limits());
     return made;
 }
 
-void peer_table::add_up()
+void peer_table::aggregate()
 {
     m_loads.clear();
     m_crashes.clear();
     m_limits.clear();
-    peer const* speaker = nullptr;
-    model::endpoint const* speaker_at = nullptr;
+    peer const* aggregator = nullptr;
+    model::endpoint const* aggregator_at = nullptr;
     for (auto const& [address, known] : m_peers) {
         if (!is_near(known)) {
             continue;
         }
-        add(m_loads, known.told.loads);
-        add(m_crashes, known.told.suspects);
+        add(m_loads, known.digest.loads);
+        add(m_crashes, known.digest.suspects);
         add_limits(m_limits, known);
         bool const is_better =
-            speaker_at == nullptr || ranks_before(address, *speaker_at);
-        if (known.told.speaks && is_better) {
-            speaker = &known;
-            speaker_at = &address;
+            aggregator_at == nullptr || ranks_before(address, *aggregator_at);
+        if (known.digest.is_aggregator && is_better) {
+            aggregator = &known;
+            aggregator_at = &address;
         }
     }
-    if (speaks()) {
-        add(m_loads, beyond());
-        add(m_crashes, suspects_beyond());
-        for (peer const* const far : far_speakers()) {
+    if (is_aggregator()) {
+        add(m_loads, remote_loads());
+        add(m_crashes, remote_suspects());
+        for (peer const* const far : remote_aggregators()) {
             add_limits(m_limits, *far);
         }
-    } else if (speaker != nullptr) {
-        add(m_loads, speaker->told.beyond);
+    } else if (aggregator != nullptr) {
+        add(m_loads, aggregator->digest.remote_loads);
     }
 }
 
--- /dev/null
+++ b/src/routing/peer_recipients.cpp
@@ -0,0 +1,163 @@
+#include "routing/peer_table.hpp"
+
+#include <algorithm>
+
+namespace caperjunction::routing {
+namespace {
+
+/// A silent host is asked this often: it may have started anew.
+constexpr model::milliseconds contact_period{1'000};
+/// Hosts that watch the store tell other data centres this often, beside each
+/// change: it confirms the keys there.
+constexpr model::milliseconds store_watcher_period{300};
+/// How often loads that are no news are told to other data centres.
+constexpr model::milliseconds remote_load_period{800};
+/// How often a host that is settled is told of the same neighbours.
+constexpr model::milliseconds neighbours_period{500};
+/// Hosts nearby that are told of a change at once, and may be asked for it.
+constexpr std::size_t recipients_per_change = 12;
+
+} // namespace
+
+// A host alone in its data centre ranks first there and relays: it asks the
+// seeds, and these name its neighbours.
+bool peer_table::is_worth_contacting(peer const& known) const
+{
+    return !is_large() || is_in_data_centre(known)
+           || (is_gateway() && (known.is_seed || known.digest.is_gateway));
+}
+
+bool peer_table::is_due_remote(peer const& known,
+                               model::time_point now,
+                               store_revisions const& own) const
+{
+    if (!is_gateway() || !known.digest.is_gateway) {
+        return false;
+    }
+    auto const period =
+        is_store_watcher() ? store_watcher_period : contact_period;
+    return now - known.sent_at >= period
+           || !known.sent_revisions.has_same_changes_as(own);
+}
+
+// Within a data centre digests cost nothing but the time to read them; what
+// crosses between data centres is paid for.
+bool peer_table::is_due_for_loads(peer const& known,
+                                  model::time_point now,
+                                  bool has_load_change) const
+{
+    return has_load_change || is_in_data_centre(known)
+           || now - known.sent_at >= remote_load_period;
+}
+
+// A digest replaces the one before it: who places by what this host says of
+// loads must be told of them each time.
+digest_kind peer_table::kind_for(peer const& known) const
+{
+    if (is_near(known)) {
+        return digest_kind::loads;
+    }
+    return known.is_live && known.digest.is_aggregator && is_aggregator()
+               ? digest_kind::aggregated_loads
+               : digest_kind::presence;
+}
+
+peer_table::recipient peer_table::record_sent(model::endpoint const& at,
+                                              peer& known,
+                                              model::time_point now,
+                                              store_revisions const& own) const
+{
+    known.sent_at = now;
+    known.sent_revisions = own;
+    known.reply_requested = false;
+    recipient made{at, kind_for(known), !known.is_live};
+    made.wants_neighbours = now - known.neighbours_sent_at >= neighbours_period;
+    if (made.wants_neighbours) {
+        known.neighbours_sent_at = now;
+    }
+    return made;
+}
+
+std::vector<peer_table::recipient> peer_table::recipients(
+    model::time_point now, store_revisions const& own, bool has_load_change)
+{
+    std::vector<recipient> due;
+    for (auto& [address, known] : m_peers) {
+        bool is_due = known.reply_requested;
+        if (!known.is_live) {
+            is_due = is_worth_contacting(known)
+                     && now - known.sent_at >= contact_period;
+        } else if (kind_for(known) != digest_kind::presence) {
+            is_due = is_due || !known.sent_revisions.has_same_changes_as(own)
+                     || is_due_for_loads(known, now, has_load_change);
+        } else {
+            is_due = is_due || is_due_remote(known, now, own);
+        }
+        if (is_due) {
+            due.push_back(record_sent(address, known, now, own));
+        }
+    }
+    return due;
+}
+
+std::vector<peer_table::recipient>
+peer_table::recipients_of_change(model::time_point now,
+                                 store_revisions const& own,
+                                 std::uint64_t random_value)
+{
+    std::size_t const neighbours = near_count();
+    std::size_t place = 0;
+    std::vector<recipient> due;
+    for (auto& [address, known] : m_peers) {
+        bool is_due = false;
+        if (is_near(known)) {
+            is_due =
+                (place + random_value) % neighbours < recipients_per_change;
+            ++place;
+        } else {
+            is_due = known.is_live && is_due_remote(known, now, own);
+        }
+        if (is_due) {
+            due.push_back(record_sent(address, known, now, own));
+        }
+    }
+    return due;
+}
+
+std::vector<neighbour>
+peer_table::neighbours_for(model::endpoint const& to,
+                           std::size_t max_count,
+                           std::uint64_t random_value) const
+{
+    auto const receiver = m_peers.find(to);
+    std::vector<neighbour> in_data_centre;
+    std::vector<neighbour> gateways;
+    for (auto const& [address, known] : m_peers) {
+        if (!known.is_live || address == to) {
+            continue;
+        }
+        neighbour const entry{
+            address, known.digest.data_centre, known.digest.is_gateway};
+        bool const shares_data_centre =
+            receiver != m_peers.end() && receiver->second.has_known_data_centre
+            && receiver->second.digest.data_centre == entry.data_centre;
+        if (shares_data_centre || !is_large()) {
+            in_data_centre.push_back(entry);
+        } else if (entry.is_gateway) {
+            gateways.push_back(entry);
+        }
+    }
+    std::vector<neighbour> list;
+    auto const take = [&list, random_value](std::vector<neighbour> const& from,
+                                            std::size_t limit) {
+        std::size_t const count = std::min(from.size(), limit);
+        for (std::size_t step = 0; step < count; ++step) {
+            list.push_back(from[(random_value + step) % from.size()]);
+        }
+    };
+    take(gateways, max_count / 2);
+    take(in_data_centre, max_count - list.size());
+    return list;
+}
+
+} // namespace caperjunction::routing
--- a/src/routing/peer_table.cpp
+++ b/src/routing/peer_table.cpp
@@ -10,17 +10,17 @@
 
 /// Three digests and more at the pace of the largest data centres, and three
 /// between data centres.
-constexpr model::milliseconds silence{3'500};
+constexpr model::milliseconds silence_limit{3'500};
 /// Silent for so long, a host that isn't a seed is taken for replaced.
-constexpr model::milliseconds gone_after{30'000};
+constexpr model::milliseconds forget_after{30'000};
 /// Hosts that are known at once; a stranger can't fill the memory.
-constexpr std::size_t most_peers = 1'024;
+constexpr std::size_t max_peers = 1'024;
 
 /// Two or three may be lost at once, or be cut from the store, before the
 /// others notice by the age of what they hear.
-constexpr std::size_t readers = 5;
+constexpr std::size_t store_watchers = 5;
 /// Hosts of a data centre that exchange beliefs with others.
-constexpr std::size_t relays_of_centre = 2;
+constexpr std::size_t gateways_per_data_centre = 2;
 
 } // namespace
 
@@ -51,7 +51,7 @@
     if (found != m_peers.end()) {
         return &found->second;
     }
-    return m_peers.size() < most_peers ? &m_peers[address] : nullptr;
+    return m_peers.size() < max_peers ? &m_peers[address] : nullptr;
 }
 
 void peer_table::learn(neighbour const& other, model::time_point now)
@@ -60,17 +60,17 @@
     if (known == nullptr) {
         return;
     }
-    known->learnt_at = now;
-    if (!known->is_heard) {
-        known->told.data_centre = other.data_centre;
-        known->told.relays = other.relays;
-        known->is_placed = true;
+    known->learned_at = now;
+    if (!known->is_live) {
+        known->digest.data_centre = other.data_centre;
+        known->digest.is_gateway = other.is_gateway;
+        known->has_known_data_centre = true;
     }
 }
 
-void peer_table::hear(model::endpoint const& from,
-                      peer_digest const& told,
-                      model::time_point now)
+void peer_table::record_digest(model::endpoint const& from,
+                               peer_digest const& digest,
+                               model::time_point now)
 {
     peer* const sender = learn(from);
     if (sender == nullptr) {
@@ -78,31 +78,32 @@
     }
     // Another generation is another process, whichever number is higher: the
     // time of day may have jumped back between the two starts.
-    bool const is_old = sender->is_heard
-                        && told.generation == sender->told.generation
-                        && told.sequence <= sender->told.sequence;
+    bool const is_old = sender->is_live
+                        && digest.generation == sender->digest.generation
+                        && digest.sequence <= sender->digest.sequence;
     if (is_old) {
         return;
     }
     m_now = std::max(m_now, now);
-    bool const is_news = !sender->is_heard
-                         || told.hosts_here != sender->told.hosts_here
-                         || told.hosts_alive != sender->told.hosts_alive
-                         || told.data_centre != sender->told.data_centre;
-    sender->told = told;
-    sender->is_heard = true;
-    sender->is_placed = true;
-    sender->heard_at = now;
-    sender->wants_answer = told.asks;
-    for (neighbour const& other : told.neighbours) {
+    bool const has_new_counts =
+        !sender->is_live
+        || digest.hosts_in_data_centre != sender->digest.hosts_in_data_centre
+        || digest.hosts_alive != sender->digest.hosts_alive
+        || digest.data_centre != sender->digest.data_centre;
+    sender->digest = digest;
+    sender->is_live = true;
+    sender->has_known_data_centre = true;
+    sender->received_at = now;
+    sender->reply_requested = digest.requests_reply;
+    for (neighbour const& other : digest.neighbours) {
         learn(other, now);
     }
-    if (is_news) {
+    if (has_new_counts) {
         recount();
     }
-    m_most_seen = std::max(
-        m_most_seen,
-        std::size_t{std::min<std::uint32_t>(told.hosts_seen, most_peers)});
+    m_largest_fleet_seen = std::max(
+        m_largest_fleet_seen,
+        std::size_t{std::min<std::uint32_t>(digest.hosts_seen, max_peers)});
 }
 
 void peer_table::forget_silent(model::time_point now)
@@ -110,11 +111,11 @@
     m_now = std::max(m_now, now);
     for (auto item = m_peers.begin(); item != m_peers.end();) {
         peer& known = item->second;
-        if (known.is_heard && now - known.heard_at > silence) {
-            known.is_heard = false;
+        if (known.is_live && now - known.received_at > silence_limit) {
+            known.is_live = false;
         }
-        auto const last = std::max(known.heard_at, known.learnt_at);
-        bool const is_gone = !known.is_seed && now - last > gone_after;
+        auto const last = std::max(known.received_at, known.learned_at);
+        bool const is_gone = !known.is_seed && now - last > forget_after;
         item = is_gone ? m_peers.erase(item) : std::next(item);
     }
     recount();
@@ -122,64 +123,68 @@
 
 void peer_table::recount()
 {
-    struct centre
+    struct data_centre_hosts
     {
-        std::size_t heard = 0;
-        std::size_t told = 0;
+        std::size_t received = 0;
+        std::size_t reported = 0;
     };
 
-    std::unordered_map<std::uint64_t, centre> others;
-    peer_digest const* relay = nullptr;
-    m_here = 0;
-    m_rank_here = 0;
+    std::unordered_map<std::uint64_t, data_centre_hosts> others;
+    peer_digest const* gateway = nullptr;
+    m_local_peers = 0;
+    m_local_rank = 0;
     for (auto const& [address, known] : m_peers) {
-        if (!known.is_heard) {
+        if (!known.is_live) {
             continue;
         }
-        if (is_here(known)) {
-            ++m_here;
-            m_rank_here += ranks_before(address, m_own) ? 1 : 0;
+        if (is_in_data_centre(known)) {
+            ++m_local_peers;
+            m_local_rank += ranks_before(address, m_own) ? 1 : 0;
             bool const says_more =
-                known.told.relays
-                && (relay == nullptr
-                    || relay->hosts_alive < known.told.hosts_alive);
-            relay = says_more ? &known.told : relay;
+                known.digest.is_gateway
+                && (gateway == nullptr
+                    || gateway->hosts_alive < known.digest.hosts_alive);
+            gateway = says_more ? &known.digest : gateway;
             continue;
         }
-        centre& there = others[known.told.data_centre];
-        ++there.heard;
-        there.told = std::max(there.told,
-                              std::size_t{std::min<std::uint32_t>(
-                                  known.told.hosts_here, most_peers)});
+        data_centre_hosts& there = others[known.digest.data_centre];
+        ++there.received;
+        there.reported =
+            std::max(there.reported,
+                     std::size_t{std::min<std::uint32_t>(
+                         known.digest.hosts_in_data_centre, max_peers)});
     }
-    m_fleet = 1 + m_here;
+    m_fleet_size = 1 + m_local_peers;
     for (auto const& [id, there] : others) {
-        m_fleet += std::max(there.heard, there.told);
+        m_fleet_size += std::max(there.received, there.reported);
     }
-    m_centres = 1 + others.size();
+    m_data_centre_count = 1 + others.size();
     // Those that relay count for themselves: a count that they took from each
     // other would never fall.
-    if (relay != nullptr && !relays()) {
-        m_fleet = std::max(
-            m_fleet, std::min(std::size_t{relay->hosts_alive}, most_peers));
-        m_centres = std::max(m_centres, std::size_t{relay->centres});
+    if (gateway != nullptr && !is_gateway()) {
+        m_fleet_size =
+            std::max(m_fleet_size,
+                     std::min(std::size_t{gateway->hosts_alive}, max_peers));
+        m_data_centre_count =
+            std::max(m_data_centre_count, std::size_t{gateway->data_centres});
     }
-    m_most_seen = std::max(m_most_seen, m_fleet);
+    m_largest_fleet_seen = std::max(m_largest_fleet_seen, m_fleet_size);
 }
 
 bool peer_table::is_large() const
 {
-    return alive() >= least_to_share;
+    return alive() >= min_peers_of_large_fleet;
 }
 
-bool peer_table::is_here(peer const& known) const
+bool peer_table::is_in_data_centre(peer const& known) const
 {
-    return known.is_placed && known.told.data_centre == m_data_centre;
+    return known.has_known_data_centre
+           && known.digest.data_centre == m_data_centre;
 }
 
 bool peer_table::is_near(peer const& known) const
 {
-    return known.is_heard && (!is_large() || is_here(known));
+    return known.is_live && (!is_large() || is_in_data_centre(known));
 }
 
 bool peer_table::ranks_before(model::endpoint const& a,
@@ -192,7 +197,7 @@
     return rank(a) < rank(b);
 }
 
-std::size_t peer_table::nearby() const
+std::size_t peer_table::near_count() const
 {
     return static_cast<std::size_t>(
         std::count_if(m_peers.begin(), m_peers.end(), [this](auto const& item) {
@@ -200,50 +205,53 @@
         }));
 }
 
-bool peer_table::speaks() const
+bool peer_table::is_aggregator() const
 {
-    return is_large() && m_rank_here == 0;
+    return is_large() && m_local_rank == 0;
 }
 
-bool peer_table::relays() const
+bool peer_table::is_gateway() const
 {
-    return m_rank_here < relays_of_centre;
+    return m_local_rank < gateways_per_data_centre;
 }
 
-bool peer_table::is_reader() const
+bool peer_table::is_store_watcher() const
 {
-    std::size_t const readers_here = (readers + m_centres - 1) / m_centres;
-    return !is_large() || m_rank_here < readers_here;
+    std::size_t const watchers_per_data_centre =
+        (store_watchers + m_data_centre_count - 1) / m_data_centre_count;
+    return !is_large() || m_local_rank < watchers_per_data_centre;
 }
 
-std::uint64_t peer_table::newest(lane which) const
+std::uint64_t peer_table::newest(list_kind which) const
 {
     std::uint64_t newest = 0;
     for (auto const& [address, known] : m_peers) {
-        if (known.is_heard) {
-            newest = std::max(newest, known.told.known.of(which));
+        if (known.is_live) {
+            newest = std::max(newest, known.digest.revisions.of(which));
         }
     }
     return newest;
 }
 
 peer_table::source peer_table::newer_than(store_revisions const& own,
-                                          lane which,
-                                          std::uint64_t draw) const
+                                          list_kind which,
+                                          std::uint64_t random_value) const
 {
     std::vector<source> nearby;
     std::vector<source> far;
     for (auto const& [address, known] : m_peers) {
-        bool const knows_more = known.told.known.of(which) > own.of(which);
-        if (known.is_heard && knows_more) {
-            bool const is_near = is_here(known);
-            bool const has_one_list = known.told.known.configuration == 0;
+        bool const knows_more =
+            known.digest.revisions.of(which) > own.of(which);
+        if (known.is_live && knows_more) {
+            bool const is_near = is_in_data_centre(known);
+            bool const sends_combined_list =
+                known.digest.revisions.configuration == 0;
             (is_near ? nearby : far)
-                .push_back({&address, is_near, has_one_list});
+                .push_back({&address, is_near, sends_combined_list});
         }
     }
     std::vector<source> const& from = nearby.empty() ? far : nearby;
-    return from.empty() ? source{} : from[draw % from.size()];
+    return from.empty() ? source{} : from[random_value % from.size()];
 }
 
 } // namespace caperjunction::routing
--- a/src/routing/pace_meter.hpp
+++ b/src/routing/performance_meter.hpp
@@ -1,8 +1,8 @@
-#ifndef CAPERJUNCTION_ROUTING_PACE_METER_HPP
-#define CAPERJUNCTION_ROUTING_PACE_METER_HPP
+#ifndef CAPERJUNCTION_ROUTING_PERFORMANCE_METER_HPP
+#define CAPERJUNCTION_ROUTING_PERFORMANCE_METER_HPP
 
 #include "model/time.hpp"
-#include "routing/upstream_pace.hpp"
+#include "routing/upstream_performance.hpp"
 
 #include <cstdint>
 #include <map>
@@ -19,7 +19,7 @@
 /// the pauses of the streams that run there.
 ///
 /// Thread safety: none; owned by one task.
-class pace_meter
+class performance_meter
 {
 public:
     using ticket = std::uint64_t;
@@ -34,9 +34,9 @@
     void drop(ticket waiting);
 
     /// Two events of a stream came so far apart.
-    void note_pause(model::milliseconds pause, model::time_point now);
+    void record_gap(model::milliseconds gap, model::time_point now);
 
-    upstream_pace pace(model::time_point now) const;
+    upstream_performance performance(model::time_point now) const;
 
 private:
     struct wait
@@ -47,14 +47,14 @@
     };
 
     double overdue(model::time_point now) const;
-    model::milliseconds pause(model::time_point now) const;
+    model::milliseconds longest_gap(model::time_point now) const;
 
     std::map<ticket, wait> m_waiting;
     ticket m_next = 0;
-    double m_slowness = 1.0;
+    double m_slowdown = 1.0;
     std::optional<model::time_point> m_measured_at;
-    model::milliseconds m_pause{0};
-    model::time_point m_paused_at{};
+    model::milliseconds m_longest_gap{0};
+    model::time_point m_gap_recorded_at{};
 };
 
 } // namespace caperjunction::routing
--- a/src/routing/pick.hpp
+++ b/src/routing/pick.hpp
@@ -22,7 +22,7 @@
     std::string_view service;
     std::size_t body_bytes = 0;
     /// Upstreams that it was sent to, or that could not be reached for it.
-    std::vector<std::string> const* tried = nullptr;
+    std::vector<std::string> const* attempted = nullptr;
     /// No route of prompts has a lower rank.
     bool is_most_urgent = false;
     /// Most urgent streams of the service that run, from all hosts.
@@ -37,23 +37,23 @@
     /// Time to its first byte, as forecast.
     model::milliseconds forecast{0};
     /// The same at the usual pace of upstreams.
-    model::milliseconds usual_forecast{0};
+    model::milliseconds nominal_forecast{0};
     /// The upstream's pace, as far as it is known.
-    upstream_pace pace;
+    upstream_performance performance;
     /// Shared tokens that are not expected in the upstream's memory.
-    std::uint32_t cold_tokens = 0;
+    std::uint32_t uncached_tokens = 0;
     /// What the upstream was thought to hold, without this request.
     std::uint32_t running = 0;
-    std::uint64_t unread_tokens = 0;
+    std::uint64_t pending_prefill_tokens = 0;
     /// Engines that urgent streams had to themselves.
-    std::size_t lane = 0;
+    std::size_t reserved_engines = 0;
     double cost = 0.0;
     std::size_t candidates = 0;
     /// Upstreams that take no more now, by their own word.
     std::size_t limited = 0;
     /// Where these are all: until one takes a request from this host; nothing
     /// if they are left to other hosts.
-    std::optional<model::milliseconds> comes_back;
+    std::optional<model::milliseconds> retry_after;
 };
 
 } // namespace caperjunction::routing
--- a/src/routing/picker.hpp
+++ b/src/routing/picker.hpp
@@ -4,7 +4,7 @@
 #include "model/time.hpp"
 #include "routing/pick.hpp"
 #include "routing/picker_settings.hpp"
-#include "routing/prompt_memory.hpp"
+#include "routing/prefix_cache_estimate.hpp"
 #include "routing/upstream_directory.hpp"
 
 #include <cstdint>
@@ -35,33 +35,33 @@
                      model::time_point now);
 
 private:
-    struct lanes
+    struct engine_partition
     {
         /// Places in the lane order before this one are those of the most
         /// urgent streams, the others of the rest.
-        std::size_t urgent = 0;
+        std::size_t reserved = 0;
         /// The one where the request's shared prompt is kept, and the one
         /// that takes what that can't.
-        upstream_state const* home = nullptr;
-        upstream_state const* second_home = nullptr;
+        upstream_state const* affinity_engine = nullptr;
+        upstream_state const* overflow_engine = nullptr;
         /// As a share of what a request is worth.
-        double cost_of_cold_token = 0.0;
+        double cost_of_uncached_token = 0.0;
     };
 
-    lanes divide(pick_request const& request,
-                 std::vector<upstream_ptr> const& able) const;
-    std::uint32_t cold_tokens(prompt const& asked,
-                              upstream_state const& candidate,
-                              model::time_point now) const;
+    engine_partition partition(pick_request const& request,
+                               std::vector<upstream_ptr> const& usable) const;
+    std::uint32_t uncached_tokens(prompt const& asked,
+                                  upstream_state const& candidate,
+                                  model::time_point now) const;
     double cost_of(pick_request const& request,
                    upstream_state const& candidate,
-                   lanes const& divided,
+                   engine_partition const& groups,
                    model::time_point now,
-                   pick& into) const;
+                   pick& result) const;
 
     upstream_directory const& m_directory;
-    picker_settings m_weights;
-    prompt_memory m_memory;
+    picker_settings m_settings;
+    prefix_cache_estimate m_memory;
 };
 
 } // namespace caperjunction::routing
--- a/src/routing/picker_settings.hpp
+++ b/src/routing/picker_settings.hpp
@@ -10,7 +10,7 @@
 struct picker_settings
 {
     /// What a path between host and upstream adds.
-    struct way
+    struct network_path
     {
         /// Round trip, in milliseconds.
         double ms = 0.0;
@@ -19,8 +19,9 @@
     };
 
     /// By `distance`.
-    std::array<way, 3> ways{{{0.0, 0.0}, {3.0, 0.02}, {18.0, 0.08}}};
-    double usual_bytes = 18'000;
+    std::array<network_path, 3> network_paths{
+        {{0.0, 0.0}, {3.0, 0.02}, {18.0, 0.08}}};
+    double reference_bytes = 18'000;
     /// Taken for the length of an answer, which nobody knows before.
     double answer_bytes = 1'000;
 
@@ -31,41 +32,41 @@
     /// The same at a plain service.
     double service_ms = 15.0;
     /// How long an urgent stream keeps its place, in milliseconds.
-    double stay_ms = 2'000;
+    double stream_duration_ms = 2'000;
 
     /// Share of the latency target that may pass without harm.
     double safe_share = 0.5;
     /// For each latency target beyond the first: the deadline comes near, and
     /// with it an answer that is cut.
-    double cost_of_far_behind = 2.0;
+    double cost_per_missed_target = 2.0;
     /// A failing upstream is worse than a late one: its caller gets nothing.
     double cost_of_failure = 2.0;
 
     /// What an urgent stream loses beside long prompts.
-    double out_of_urgent_lane = 0.4;
+    double cost_outside_reserved = 0.4;
     /// What a prompt costs the urgent streams beside it: something at once,
     /// and more with each token that it has to be read.
-    double in_urgent_lane = 0.1;
-    double cost_of_urgent_delay = 1.0 / 4'000;
+    double cost_inside_reserved = 0.1;
+    double cost_of_delay_per_token = 1.0 / 4'000;
 
     /// Shared tokens that, read anew, weigh as much as being late. What is
     /// read anew delays all others at that engine: while engines have time, a
     /// subject that many ask for is spread; when all of them are behind,
     /// prompts must not leave their homes, or engines read the same parts
     /// over and over and the overload feeds itself.
-    double cold_tokens_when_free = 5'000;
-    double cold_tokens_when_behind = 2'000;
+    double uncached_tokens_when_idle = 5'000;
+    double uncached_tokens_when_behind = 2'000;
     /// Engines are behind when the prompts that wait take this share of the
     /// latency target.
     double share_when_behind = 0.25;
 
     /// What a stream loses on an engine whose streams pause for as long as
     /// its route allows, and from which share of that on it loses some.
-    double cost_of_pause = 0.8;
-    double safe_pause = 0.8;
+    double cost_of_event_gap = 0.8;
+    double safe_gap_share = 0.8;
     /// What a prompt costs each urgent stream beside it, and all of them.
-    double beside_urgent = 0.03;
-    double most_beside_urgent = 0.6;
+    double cost_per_urgent_stream = 0.03;
+    double max_cost_of_urgent_streams = 0.6;
 };
 
 } // namespace caperjunction::routing
--- a/src/routing/prompt_memory.hpp
+++ b/src/routing/prefix_cache_estimate.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_ROUTING_PROMPT_MEMORY_HPP
-#define CAPERJUNCTION_ROUTING_PROMPT_MEMORY_HPP
+#ifndef CAPERJUNCTION_ROUTING_PREFIX_CACHE_ESTIMATE_HPP
+#define CAPERJUNCTION_ROUTING_PREFIX_CACHE_ESTIMATE_HPP
 
 #include "model/time.hpp"
 
@@ -14,7 +14,7 @@
 /// Where this host has lately sent which shared part of a prompt.
 ///
 /// Thread safety: none; owned by one task.
-class prompt_memory
+class prefix_cache_estimate
 {
 public:
     void record(std::string const& upstream,
--- a/src/routing/prompt.hpp
+++ b/src/routing/prompt.hpp
@@ -34,7 +34,7 @@
 
     /// Names what is shared: the last part but one, which implies all
     /// before it; 0 if nothing is.
-    std::uint64_t subject() const
+    std::uint64_t prefix_id() const
     {
         return parts.size() < 2 ? 0 : parts[parts.size() - 2].id;
     }
--- a/src/routing/refusal.cpp
+++ b/src/routing/refusal.cpp
@@ -132,7 +132,7 @@
 
 refusal refuse(refusal_reason reason,
                bool may_have_run,
-               std::optional<milliseconds> comes_back)
+               std::optional<milliseconds> retry_after)
 {
     constexpr int unavailable = 503;
     constexpr int bad_gateway = 502;
@@ -150,7 +150,7 @@
         // 503 promises that the request has not run.
         made.status = bad_gateway;
     } else if (entry_of(reason).retry_after.count() > 0) {
-        made.retry_after = comes_back.value_or(entry_of(reason).retry_after);
+        made.retry_after = retry_after.value_or(entry_of(reason).retry_after);
     }
     return made;
 }
--- a/src/routing/refusal.hpp
+++ b/src/routing/refusal.hpp
@@ -60,7 +60,7 @@
 /// back, where that is known better than by the reason alone.
 refusal refuse(refusal_reason reason,
                bool may_have_run,
-               std::optional<model::milliseconds> comes_back = std::nullopt);
+               std::optional<model::milliseconds> retry_after = std::nullopt);
 
 /// What to do about it, for the answer's body.
 std::string_view remedy_of(refusal_reason reason);
--- a/src/routing/lane_size.hpp
+++ b/src/routing/reserved_engines.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_ROUTING_LANE_SIZE_HPP
-#define CAPERJUNCTION_ROUTING_LANE_SIZE_HPP
+#ifndef CAPERJUNCTION_ROUTING_RESERVED_ENGINES_HPP
+#define CAPERJUNCTION_ROUTING_RESERVED_ENGINES_HPP
 
 #include <algorithm>
 #include <cmath>
@@ -9,7 +9,7 @@
 namespace caperjunction::routing {
 
 /// What the number of engines for the most urgent streams depends on.
-struct lane_facts
+struct reservation_inputs
 {
     /// Engines of the service.
     std::size_t engines = 0;
@@ -24,7 +24,7 @@
 ///
 /// A fixed share would stand idle while long prompts come in bursts, and
 /// would be overfull while urgent streams do.
-inline std::size_t lane_size(lane_facts const& facts)
+inline std::size_t reserved_engine_count(reservation_inputs const& inputs)
 {
     // With fewer, long prompts would have too few engines left.
     constexpr std::size_t least_to_divide = 3;
@@ -38,17 +38,17 @@
     constexpr double largest_share = 0.6;
     // Slots are left for what comes until other hosts have heard of it.
     constexpr double filled = 0.7;
-    if (facts.engines < least_to_divide) {
+    if (inputs.engines < least_to_divide) {
         return 0;
     }
     double const needed =
-        facts.urgent_streams / std::max(1.0, facts.slots * filled);
+        inputs.urgent_streams / std::max(1.0, inputs.slots * filled);
     auto const spare =
-        std::min(spare_at_rest, facts.engines / engines_of_one_spare);
+        std::min(spare_at_rest, inputs.engines / engines_of_one_spare);
     auto const at_rest = std::max(
-        {std::size_t{1}, facts.engines / engines_of_one_at_rest, spare});
+        {std::size_t{1}, inputs.engines / engines_of_one_at_rest, spare});
     auto const most = static_cast<std::size_t>(
-        std::floor(static_cast<double>(facts.engines) * largest_share));
+        std::floor(static_cast<double>(inputs.engines) * largest_share));
     return std::clamp(static_cast<std::size_t>(std::ceil(needed)),
                       at_rest,
                       std::max(at_rest, most));
--- a/src/routing/retry_allowance.hpp
+++ b/src/routing/retry_budget.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_ROUTING_RETRY_ALLOWANCE_HPP
-#define CAPERJUNCTION_ROUTING_RETRY_ALLOWANCE_HPP
+#ifndef CAPERJUNCTION_ROUTING_RETRY_BUDGET_HPP
+#define CAPERJUNCTION_ROUTING_RETRY_BUDGET_HPP
 
 #include "model/time.hpp"
 
@@ -17,30 +17,30 @@
 /// other or start anew.
 ///
 /// Thread safety: none; owned by one task.
-class retry_allowance
+class retry_budget
 {
 public:
     /// `ratio`: second sends a request. `burst`: what an idle host may spend
     /// at once.
-    retry_allowance(double ratio, double burst)
+    retry_budget(double ratio, double burst)
         : m_ratio(ratio * safety)
         , m_burst(burst)
-        , m_left(burst)
+        , m_tokens(burst)
     {
     }
 
     void record_request()
     {
-        m_left = std::min(m_left + m_ratio, m_burst);
+        m_tokens = std::min(m_tokens + m_ratio, m_burst);
     }
 
     /// Takes one second send; false if it must not be made.
-    bool try_take()
+    bool try_acquire()
     {
-        if (m_left < 1.0) {
+        if (m_tokens < 1.0) {
             return false;
         }
-        m_left -= 1.0;
+        m_tokens -= 1.0;
         return true;
     }
 
@@ -48,13 +48,13 @@
     void burst(double burst)
     {
         m_burst = burst;
-        m_left = std::min(m_left, m_burst);
+        m_tokens = std::min(m_tokens, m_burst);
     }
 
     /// Second sends left.
-    double left() const
+    double available() const
     {
-        return m_left;
+        return m_tokens;
     }
 
 private:
@@ -64,7 +64,7 @@
 
     double m_ratio;
     double m_burst;
-    double m_left;
+    double m_tokens;
 };
 
 } // namespace caperjunction::routing
--- a/src/routing/retry_rule.hpp
+++ b/src/routing/retry_rule.hpp
@@ -11,7 +11,7 @@
 namespace caperjunction::routing {
 
 /// How one try of a request ended without the wanted answer.
-enum class try_end : std::uint8_t
+enum class attempt_end : std::uint8_t
 {
     /// The upstream could not be reached: it got nothing.
     unreachable,
@@ -26,7 +26,7 @@
 };
 
 /// Stable name, for logs.
-inline std::string_view to_string(try_end how)
+inline std::string_view to_string(attempt_end how)
 {
     constexpr std::array<std::string_view, 5> names{
         "unreachable", "not_run", "broken", "failed", "silent"};
@@ -34,7 +34,7 @@
 }
 
 /// Where a request stands.
-struct try_state
+struct attempt_state
 {
     /// Upstreams that were handed the request.
     std::uint32_t sent = 0;
@@ -49,18 +49,18 @@
 /// What must not run twice is sent again only if the upstream said that it
 /// has not run it, or got nothing.
 inline bool
-may_try_again(route const& chosen, try_end ended, try_state const& state)
+may_retry(route const& chosen, attempt_end ended, attempt_state const& state)
 {
     // Each costs a connect timeout; more would eat up the caller's time.
     constexpr std::uint32_t most_unreached = 4;
-    if (ended == try_end::unreachable) {
+    if (ended == attempt_end::unreachable) {
         return state.unreached < most_unreached
                && state.sent < chosen.max_attempts;
     }
     if (state.sent >= chosen.max_attempts) {
         return false;
     }
-    return ended == try_end::not_run || chosen.repeatable();
+    return ended == attempt_end::not_run || chosen.repeatable();
 }
 
 } // namespace caperjunction::routing
--- a/src/routing/route.hpp
+++ b/src/routing/route.hpp
@@ -29,15 +29,15 @@
     /// A broken stream may go on at another upstream after its last event.
     bool resumable = false;
     /// Served without an API key.
-    bool open = false;
+    bool is_public = false;
     /// Its requests name the parts of their prompt.
-    bool by_prompt = false;
+    bool has_prompt_affinity = false;
     /// Longest time that a caller is kept waiting.
     model::milliseconds timeout{30'000};
     /// Time to the answer (streams: to the first event) that is aimed at.
     model::milliseconds latency_target{1'000};
     /// Longest pause between two events that is still on time; 0: none.
-    model::milliseconds pause_target{0};
+    model::milliseconds max_event_gap{0};
     /// Upstreams that one request may be sent to, at least 1.
     std::uint32_t max_attempts = 1;
     /// 0 is the most urgent.
@@ -46,9 +46,9 @@
     std::vector<weighted_service> split;
 
     /// Whether a pause between two events makes a stream late.
-    bool is_pause_too_long(model::milliseconds pause) const
+    bool is_gap_too_long(model::milliseconds gap) const
     {
-        return pause_target.count() > 0 && pause > pause_target;
+        return max_event_gap.count() > 0 && gap > max_event_gap;
     }
 
     /// Whether it may run again after it may have run.
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -20,9 +20,9 @@
 } // namespace
 
 route_table::route_table(configuration read)
-    : m_lists(std::move(read))
+    : m_config(std::move(read))
 {
-    for (route const& item : m_lists.routes) {
+    for (route const& item : m_config.routes) {
         m_by_authority[item.authority].push_back(&item);
     }
     for (auto& [authority, routes] : m_by_authority) {
@@ -31,17 +31,17 @@
                 return a->prefix.size() > b->prefix.size();
             });
     }
-    for (team const& item : m_lists.teams) {
+    for (team const& item : m_config.teams) {
         for (std::string const& key : item.keys) {
             m_by_key.emplace(key, &item);
         }
     }
-    for (service const& item : m_lists.services) {
+    for (service const& item : m_config.services) {
         m_by_service.emplace(item.name, &item);
     }
-    for (route const& asked : m_lists.routes) {
+    for (route const& asked : m_config.routes) {
         m_ranks.push_back(ranks_of(asked, nullptr));
-        for (team const& by : m_lists.teams) {
+        for (team const& by : m_config.teams) {
             m_ranks.push_back(ranks_of(asked, &by));
         }
     }
@@ -78,7 +78,7 @@
     return nullptr;
 }
 
-team const* route_table::holder(std::string_view key) const
+team const* route_table::find_team(std::string_view key) const
 {
     auto const found = m_by_key.find(key);
     return found == m_by_key.end() ? nullptr : found->second;
@@ -91,14 +91,14 @@
 }
 
 std::string const& route_table::pick_service(route const& chosen,
-                                             std::uint64_t draw)
+                                             std::uint64_t random_value)
 {
     assert(!chosen.split.empty());
     std::uint64_t total = 0;
     for (weighted_service const& part : chosen.split) {
         total += part.weight;
     }
-    std::uint64_t place = total == 0 ? 0 : draw % total;
+    std::uint64_t place = total == 0 ? 0 : random_value % total;
     for (weighted_service const& part : chosen.split) {
         if (place < part.weight) {
             return part.service;
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -23,9 +23,9 @@
     route_table(route_table const&) = delete;
     route_table& operator=(route_table const&) = delete;
 
-    configuration const& lists() const
+    configuration const& config() const
     {
-        return m_lists;
+        return m_config;
     }
 
     /// The route of that authority with the longest prefix that begins
@@ -33,7 +33,7 @@
     route const* match(std::string_view authority, std::string_view path) const;
 
     /// Who holds `key`; null if nobody does.
-    team const* holder(std::string_view key) const;
+    team const* find_team(std::string_view key) const;
 
     /// Null if no such service is known.
     service const* find_service(std::string_view name) const;
@@ -50,10 +50,10 @@
     /// The service that takes a request of `chosen`; `draw` spreads requests
     /// by weight and must be the same for the same request.
     static std::string const& pick_service(route const& chosen,
-                                           std::uint64_t draw);
+                                           std::uint64_t random_value);
 
 private:
-    configuration m_lists;
+    configuration m_config;
     /// Routes of an authority, the longest prefix first.
     std::unordered_map<std::string, std::vector<route const*>> m_by_authority;
     std::unordered_map<std::string_view, team const*> m_by_key;
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -15,7 +15,7 @@
     /// Requests that one engine runs at once; 0: not a model engine.
     std::uint32_t slots = 0;
     /// Tokens that one engine keeps in memory.
-    std::uint64_t memory_tokens = 0;
+    std::uint64_t kv_cache_tokens = 0;
 };
 
 } // namespace caperjunction::routing
--- a/src/routing/stop_rule.hpp
+++ b/src/routing/stop_rule.hpp
@@ -12,24 +12,24 @@
 constexpr model::milliseconds balancer_lag{3'000};
 
 /// By how much the signal's delivery may be stamped late on a busy host.
-constexpr model::milliseconds notice_delay{100};
+constexpr model::milliseconds signal_delay{100};
 
 /// Left for writing the last answers before the process is ended by force.
-constexpr model::milliseconds last_moment{250};
+constexpr model::milliseconds final_write_time{250};
 
 /// Whether a request that comes `since_signal` after the signal to stop is
 /// still taken. One that may outlast the process would be cut off in the
 /// middle; refused, it has not run, and its caller tries another host.
 ///
 /// \pre No time is negative. Thread safety: any thread.
-inline bool takes_new(model::milliseconds since_signal,
-                      model::milliseconds stop_limit,
-                      model::milliseconds longest)
+inline bool accepts_request(model::milliseconds since_signal,
+                            model::milliseconds stop_limit,
+                            model::milliseconds longest)
 {
     // While the balancer still sends callers here, all are served: most
     // answers are far shorter than their timeout.
-    return since_signal < std::min(balancer_lag - notice_delay, stop_limit / 2)
-           || since_signal + longest + last_moment < stop_limit;
+    return since_signal < std::min(balancer_lag - signal_delay, stop_limit / 2)
+           || since_signal + longest + final_write_time < stop_limit;
 }
 
 } // namespace caperjunction::routing
--- a/src/routing/store_revisions.hpp
+++ b/src/routing/store_revisions.hpp
@@ -8,7 +8,7 @@
 
 /// What hosts give each other separately: a leave of some hundred bytes must
 /// not wait for a configuration of some hundred kilobytes.
-enum class lane : std::uint8_t
+enum class list_kind : std::uint8_t
 {
     upstreams,
     configuration,
@@ -24,9 +24,9 @@
     /// Up to it the store had no newer configuration.
     std::uint64_t checked = 0;
 
-    std::uint64_t of(lane which) const
+    std::uint64_t of(list_kind which) const
     {
-        return which == lane::upstreams ? upstreams : configuration;
+        return which == list_kind::upstreams ? upstreams : configuration;
     }
 
     /// All changes of any kind up to it are applied.
@@ -38,14 +38,14 @@
     /// Whether the configuration known here is at least as new as what a host
     /// that knows `told` has: what that host has confirmed holds here too. One
     /// of an earlier version doesn't name its configuration.
-    bool covers_configuration(store_revisions const& told) const
+    bool covers_configuration(store_revisions const& other) const
     {
-        return told.configuration != 0 && configuration >= told.configuration;
+        return other.configuration != 0 && configuration >= other.configuration;
     }
 
     /// Whether both hold the same changes; a confirmation that there are no
     /// others is no reason to tell anybody at once.
-    bool has_changes_of(store_revisions const& other) const
+    bool has_same_changes_as(store_revisions const& other) const
     {
         return upstreams == other.upstreams
                && configuration == other.configuration;
--- a/src/routing/upstream_directory.cpp
+++ b/src/routing/upstream_directory.cpp
@@ -29,22 +29,23 @@
 {
     m_missing.erase(described.id);
     upstream_ptr& held = m_by_id[described.id];
-    std::string const before = held ? held->about.service : described.service;
-    bool const is_same = held && held->about.started == described.started
-                         && held->about.at == described.at
-                         && held->about.service == described.service;
+    std::string const before =
+        held ? held->description.service : described.service;
+    bool const is_same = held && held->description.started == described.started
+                         && held->description.at == described.at
+                         && held->description.service == described.service;
     if (!is_same) {
         if (held) {
-            held->gone = true;
+            held->is_retired = true;
         }
         held = std::make_shared<upstream_state>();
     }
-    held->about = described;
-    held->away = m_measure(described.data_centre);
-    held->gone = described.draining;
-    list_anew(described.service);
+    held->description = described;
+    held->network_distance = m_measure(described.data_centre);
+    held->is_retired = described.draining;
+    rebuild_list(described.service);
     if (before != described.service) {
-        list_anew(before);
+        rebuild_list(before);
     }
 }
 
@@ -66,8 +67,8 @@
     }
 }
 
-void upstream_directory::keep_only(std::vector<std::string> const& ids,
-                                   model::time_point now)
+void upstream_directory::retain_only(std::vector<std::string> const& ids,
+                                     model::time_point now)
 {
     std::vector<std::string> lacking;
     for (auto const& [id, state] : m_by_id) {
@@ -111,42 +112,42 @@
 }
 
 std::vector<upstream_ptr> const&
-upstream_directory::lane_order(std::string_view service) const
+upstream_directory::reservation_order(std::string_view service) const
 {
-    auto const known = m_lane_orders.find(service);
-    if (known != m_lane_orders.end()) {
+    auto const known = m_reservation_orders.find(service);
+    if (known != m_reservation_orders.end()) {
         return known->second;
     }
 
     struct entry
     {
-        std::size_t place_in_centre;
+        std::size_t rank_in_data_centre;
         std::uint64_t hash;
         upstream_ptr at;
     };
 
     std::vector<entry> entries;
     for (upstream_ptr const& item : of_service(service)) {
-        std::string const& id = item->about.id;
+        std::string const& id = item->description.id;
         entries.push_back({0, XXH3_64bits(id.data(), id.size()), item});
     }
-    auto const by_place = [](entry const& a, entry const& b) {
-        return std::tie(a.place_in_centre, a.hash)
-               < std::tie(b.place_in_centre, b.hash);
+    auto const by_rank = [](entry const& a, entry const& b) {
+        return std::tie(a.rank_in_data_centre, a.hash)
+               < std::tie(b.rank_in_data_centre, b.hash);
     };
-    std::sort(entries.begin(), entries.end(), by_place);
+    std::sort(entries.begin(), entries.end(), by_rank);
     std::map<std::string_view, std::size_t> counted;
     for (entry& item : entries) {
-        item.place_in_centre = counted[item.at->about.data_centre]++;
+        item.rank_in_data_centre = counted[item.at->description.data_centre]++;
     }
-    std::sort(entries.begin(), entries.end(), by_place);
+    std::sort(entries.begin(), entries.end(), by_rank);
     std::vector<upstream_ptr> order;
     order.reserve(entries.size());
     for (entry const& item : entries) {
-        item.at->lane_place = order.size();
+        item.at->reservation_rank = order.size();
         order.push_back(item.at);
     }
-    return m_lane_orders[std::string(service)] = std::move(order);
+    return m_reservation_orders[std::string(service)] = std::move(order);
 }
 
 upstream_ptr upstream_directory::find(std::string const& id) const
@@ -162,19 +163,19 @@
     if (found == m_by_id.end()) {
         return;
     }
-    found->second->gone = true;
-    std::string const service = found->second->about.service;
+    found->second->is_retired = true;
+    std::string const service = found->second->description.service;
     m_by_id.erase(found);
-    list_anew(service);
+    rebuild_list(service);
 }
 
-void upstream_directory::list_anew(std::string const& service)
+void upstream_directory::rebuild_list(std::string const& service)
 {
     std::vector<upstream_ptr>& list = m_by_service[service];
     list.clear();
-    m_lane_orders.erase(service);
+    m_reservation_orders.erase(service);
     for (auto const& [id, state] : m_by_id) {
-        if (state->about.service == service && !state->gone) {
+        if (state->description.service == service && !state->is_retired) {
             list.push_back(state);
         }
     }
--- a/src/routing/upstream_directory.hpp
+++ b/src/routing/upstream_directory.hpp
@@ -42,7 +42,8 @@
     void remove(std::string const& id, model::time_point now);
 
     /// The store was read anew: what is not in `ids` is missing.
-    void keep_only(std::vector<std::string> const& ids, model::time_point now);
+    void retain_only(std::vector<std::string> const& ids,
+                     model::time_point now);
 
     /// Drops what is still missing; to be called when `next_drop` is due.
     void drop_missing(model::time_point now);
@@ -59,7 +60,8 @@
     /// The first of each data centre come before the second, so that some are
     /// left when a region is cut off, and in each a hash of the id decides:
     /// hosts that know the same upstreams agree without a message.
-    std::vector<upstream_ptr> const& lane_order(std::string_view service) const;
+    std::vector<upstream_ptr> const&
+    reservation_order(std::string_view service) const;
 
     /// Null if there is none.
     upstream_ptr find(std::string const& id) const;
@@ -80,14 +82,14 @@
 
 private:
     void drop(std::string const& id);
-    void list_anew(std::string const& service);
+    void rebuild_list(std::string const& service);
 
     distance_of m_measure;
     std::map<std::string, upstream_ptr> m_by_id;
     std::map<std::string, std::vector<upstream_ptr>, std::less<>> m_by_service;
     /// Made when it is asked for; empty after a change.
     mutable std::map<std::string, std::vector<upstream_ptr>, std::less<>>
-        m_lane_orders;
+        m_reservation_orders;
     std::map<std::string, model::time_point> m_missing;
     model::time_point m_settled_at{};
 };
--- a/src/routing/upstream_health.hpp
+++ b/src/routing/upstream_health.hpp
@@ -25,9 +25,9 @@
     void record_unreachable(model::time_point now)
     {
         record_failure(now);
-        m_in_row = std::min(m_in_row + 1, most_doublings);
-        auto const wait = first_rest * (1U << (m_in_row - 1));
-        m_resting_until = now + std::min(wait, longest_rest);
+        m_consecutive = std::min(m_consecutive + 1, max_doublings);
+        auto const wait = first_back_off * (1U << (m_consecutive - 1));
+        m_backed_off_until = now + std::min(wait, max_back_off);
     }
 
     /// It answered, and the answer was a failure of its own.
@@ -41,13 +41,13 @@
     {
         m_failures = failure_share(now) * (1.0 - weight);
         m_updated = now;
-        m_in_row = 0;
-        m_resting_until = {};
+        m_consecutive = 0;
+        m_backed_off_until = {};
     }
 
-    bool is_resting(model::time_point now) const
+    bool is_backing_off(model::time_point now) const
     {
-        return now < m_resting_until;
+        return now < m_backed_off_until;
     }
 
     /// Share of recent requests that failed, 0 to 1; old ones fade.
@@ -64,14 +64,14 @@
     static constexpr double half_life_seconds = 3.0;
     /// A restart of an engine takes seconds; the first rest only spares the
     /// requests that are about to be sent.
-    static constexpr model::milliseconds first_rest{400};
-    static constexpr model::milliseconds longest_rest{3'000};
-    static constexpr std::uint32_t most_doublings = 5;
+    static constexpr model::milliseconds first_back_off{400};
+    static constexpr model::milliseconds max_back_off{3'000};
+    static constexpr std::uint32_t max_doublings = 5;
 
     double m_failures = 0.0;
-    std::uint32_t m_in_row = 0;
+    std::uint32_t m_consecutive = 0;
     model::time_point m_updated{};
-    model::time_point m_resting_until{};
+    model::time_point m_backed_off_until{};
 };
 
 } // namespace caperjunction::routing
--- a/src/routing/upstream_limit.hpp
+++ b/src/routing/upstream_limit.hpp
@@ -12,24 +12,24 @@
 struct limit_notice
 {
     /// Requests a second, from all hosts together; nothing: as many as come.
-    std::optional<double> a_second;
+    std::optional<double> requests_per_second;
     /// When a host got that answer; the newest holds.
-    model::time_point heard_at{};
+    model::time_point received_at{};
 };
 
 /// A host's place among those that share an upstream's limit.
-struct limit_place
+struct limit_share
 {
     /// From 0. All of `hosts` order each other alike; the first share it.
     std::size_t rank = 0;
     /// Hosts that hear each other, with this one.
     std::size_t hosts = 1;
     /// False: the limit is shared by others, which this host doesn't hear.
-    bool is_among_them = true;
+    bool participates = true;
     /// All hosts of the fleet.
-    std::size_t fleet = 1;
+    std::size_t fleet_size = 1;
     /// 0 to 1, drawn once for the host and the upstream: who begins first.
-    double turn = 0.0;
+    double phase = 0.0;
 };
 
 /// This host's part of the requests that an upstream in need takes.
@@ -46,7 +46,7 @@
 public:
     /// Takes a notice of this host's or another's answer; an older one than is
     /// known changes nothing. True if it begins or ends a limit.
-    bool note(limit_notice const& notice);
+    bool update(limit_notice const& notice);
 
     /// The notice that holds; nothing was ever said before the first.
     limit_notice const& notice() const
@@ -54,18 +54,18 @@
         return m_notice;
     }
 
-    limit_place const& place() const
+    limit_share const& share() const
     {
-        return m_place;
+        return m_share;
     }
 
     bool is_limited() const
     {
-        return m_notice.a_second.has_value();
+        return m_notice.requests_per_second.has_value();
     }
 
     /// Sets who shares the limit.
-    void share(limit_place const& place);
+    void set_share(limit_share const& share);
 
     /// Whether one more request may be sent.
     bool may_send(model::time_point now) const
@@ -84,13 +84,13 @@
 private:
     bool is_stale(model::time_point now) const;
     std::size_t sharers() const;
-    model::time_point next_of_sharer() const;
-    model::time_point next_of_stale() const;
-    model::time_point next_turn(model::time_point from,
+    model::time_point next_for_sharer() const;
+    model::time_point next_for_stale() const;
+    model::time_point next_slot(model::time_point from,
                                 model::milliseconds each) const;
 
     limit_notice m_notice;
-    limit_place m_place;
+    limit_share m_share;
     model::time_point m_sent_at{};
     model::time_point m_began{};
 };
--- a/src/routing/upstream_pace.hpp
+++ b/src/routing/upstream_performance.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_ROUTING_UPSTREAM_PACE_HPP
-#define CAPERJUNCTION_ROUTING_UPSTREAM_PACE_HPP
+#ifndef CAPERJUNCTION_ROUTING_UPSTREAM_PERFORMANCE_HPP
+#define CAPERJUNCTION_ROUTING_UPSTREAM_PERFORMANCE_HPP
 
 #include "model/time.hpp"
 
@@ -9,26 +9,26 @@
 namespace caperjunction::routing {
 
 /// How fast an upstream works, as one or more hosts have seen it lately.
-struct upstream_pace
+struct upstream_performance
 {
     /// Time to the first event against what was forecast; 1: as forecast.
-    double slowness = 1.0;
+    double slowdown = 1.0;
     /// Hosts whose requests tell so; 0: nothing is known.
-    std::uint32_t voters = 0;
+    std::uint32_t observers = 0;
     /// Longest pause between two events of a stream.
-    model::milliseconds pause{0};
+    model::milliseconds longest_gap{0};
 
     /// Takes in what others have seen: the mean of the slowness, since each
     /// host sees but a few requests, and the longest pause.
-    void merge(upstream_pace const& other)
+    void merge(upstream_performance const& other)
     {
-        std::uint32_t const all = voters + other.voters;
+        std::uint32_t const all = observers + other.observers;
         if (all > 0) {
-            slowness =
-                (slowness * voters + other.slowness * other.voters) / all;
+            slowdown =
+                (slowdown * observers + other.slowdown * other.observers) / all;
         }
-        voters = all;
-        pause = std::max(pause, other.pause);
+        observers = all;
+        longest_gap = std::max(longest_gap, other.longest_gap);
     }
 };
 
--- a/src/routing/watch_pace.hpp
+++ b/src/routing/watch_wait.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_ROUTING_WATCH_PACE_HPP
-#define CAPERJUNCTION_ROUTING_WATCH_PACE_HPP
+#ifndef CAPERJUNCTION_ROUTING_WATCH_WAIT_HPP
+#define CAPERJUNCTION_ROUTING_WATCH_WAIT_HPP
 
 #include "model/time.hpp"
 
@@ -9,7 +9,7 @@
 namespace caperjunction::routing {
 
 /// What the wait of a watch depends on.
-struct watch_facts
+struct watch_inputs
 {
     model::milliseconds key_lifetime{5'000};
     /// Within it a published change has to be in force.
@@ -27,7 +27,8 @@
 /// beliefs would be equally old when the next outage begins, and keys would be
 /// refused sooner. Spread, some host's belief is young, and the others hear of
 /// it.
-inline model::milliseconds watch_wait(watch_facts const& facts, double draw)
+inline model::milliseconds watch_wait(watch_inputs const& inputs,
+                                      double random_value)
 {
     // After a watch that is lost there is time for two more before keys are
     // refused.
@@ -38,15 +39,15 @@
     // look themselves.
     constexpr double shared = 0.33;
     using real_ms = std::chrono::duration<double, std::milli>;
-    real_ms const longest = facts.key_lifetime * alone;
-    if (facts.is_shared) {
+    real_ms const longest = inputs.key_lifetime * alone;
+    if (inputs.is_shared) {
         real_ms const told =
-            std::min(longest, real_ms(facts.apply_limit * shared));
+            std::min(longest, real_ms(inputs.apply_limit * shared));
         return std::chrono::duration_cast<model::milliseconds>(
-            told * (0.5 + draw / 2));
+            told * (0.5 + random_value / 2));
     }
     double const spread =
-        facts.peers < some_peers ? 1.0 - draw / 4 : 0.5 + draw;
+        inputs.peers < some_peers ? 1.0 - random_value / 4 : 0.5 + random_value;
     return std::chrono::duration_cast<model::milliseconds>(longest * spread);
 }
 
--- a/tests/proxy/relay_close_test.cpp
+++ b/tests/proxy/relay_close_test.cpp
@@ -43,7 +43,7 @@
 TEST_CASE("a request that crosses the close of its connection stays unread")
 {
     relay_fixture site;
-    auto lists = site.context.table->lists();
+    auto lists = site.context.table->config();
     lists.limits.idle_timeout = 50ms;
     site.context.table = std::make_shared<routing::route_table const>(lists);
     auto const ends = connected_pair();
@@ -64,7 +64,7 @@
     REQUIRE(site.run_until([&caller] {
         return caller->got.find("done") != std::string::npos;
     }));
-    auto lists = site.context.table->lists();
+    auto lists = site.context.table->config();
     lists.limits.idle_timeout = 1ms;
     site.context.table = std::make_shared<routing::route_table const>(lists);
     site.run_for(400ms);
@@ -175,7 +175,7 @@
 {
     relay_fixture site;
     site.add("i-1", "ledger", answers_done);
-    auto lists = site.context.table->lists();
+    auto lists = site.context.table->config();
     lists.limits.idle_timeout = 100ms;
     lists.limits.header_timeout = 100ms;
     site.context.table = std::make_shared<routing::route_table const>(lists);
--- a/tests/proxy/relay_faults_test.cpp
+++ b/tests/proxy/relay_faults_test.cpp
@@ -313,7 +313,7 @@
     REQUIRE(site.run_until([&] {
         return old_one.requests.size() == 1;
     }));
-    auto lists = site.context.table->lists();
+    auto lists = site.context.table->config();
     lists.version = 2;
     lists.routes[0].split = {{"fresh", 1}};
     site.context.table = std::make_shared<routing::route_table const>(lists);
--- a/tests/proxy/relay_fixture.cpp
+++ b/tests/proxy/relay_fixture.cpp
@@ -39,7 +39,7 @@
                    make("/stream/", request_kind::stream, 1),
                    make("/resume/", request_kind::stream, 3),
                    make("/short/", request_kind::at_most_once, 1)};
-    made.routes[2].pause_target = 60ms;
+    made.routes[2].max_event_gap = 60ms;
     made.routes[3].resumable = true;
     made.routes[4].timeout = 300ms;
     made.teams = {{"desk", {"secret"}, {}}};
@@ -64,7 +64,7 @@
     , relay(context)
 {
     context.table = std::make_shared<routing::route_table const>(lists());
-    context.keys.confirm(loop.now());
+    context.keys.renew(loop.now());
     context.on_ended = [this](proxy::exchange_report const& ended) {
         reports.push_back(ended);
         outcomes.emplace_back(ended.outcome);
--- a/tests/proxy/relay_unsent_test.cpp
+++ b/tests/proxy/relay_unsent_test.cpp
@@ -74,7 +74,7 @@
     site.add("i-1", "ledger", [](received const&) -> script {
         return {sound(std::string(size, 'x'))};
     });
-    auto lists = site.context.table->lists();
+    auto lists = site.context.table->config();
     lists.routes[1].timeout = 10s;
     site.context.table = std::make_shared<routing::route_table const>(lists);
     auto const caller = site.connect();
@@ -117,7 +117,7 @@
 TEST_CASE("the idle limit leaves an answer alone that is still being read")
 {
     relay_fixture site;
-    auto lists = site.context.table->lists();
+    auto lists = site.context.table->config();
     lists.limits.idle_timeout = 500ms;
     site.context.table = std::make_shared<routing::route_table const>(lists);
     auto const ends = connected_pair();
--- a/tests/routing/admission_test.cpp
+++ b/tests/routing/admission_test.cpp
@@ -1,19 +1,19 @@
 #include "routing/admission.hpp"
 
-#include "routing/retry_allowance.hpp"
+#include "routing/retry_budget.hpp"
 #include "routing/retry_rule.hpp"
 #include "routing/stop_rule.hpp"
 #include "routing/store_revisions.hpp"
 #include "routing/support.hpp"
-#include "routing/watch_pace.hpp"
+#include "routing/watch_wait.hpp"
 
 #include <doctest/doctest.h>
 
 using namespace caperjunction;
 using namespace caperjunction::test;
+using routing::attempt_end;
 using routing::refusal_reason;
 using routing::request_kind;
-using routing::try_end;
 
 namespace {
 
@@ -22,7 +22,7 @@
     routing::configuration lists;
     lists.routes = {make_route("/a/", request_kind::at_most_once),
                     make_route("/open/", request_kind::at_most_once)};
-    lists.routes[1].open = true;
+    lists.routes[1].is_public = true;
     lists.teams = {{"desk", {"secret"}, {}}};
     return lists;
 }
@@ -31,7 +31,7 @@
 
 TEST_CASE("a host without a configuration refuses and says when to come back")
 {
-    routing::freshness const keys(5'000ms);
+    routing::key_lease const keys(5'000ms);
     auto const made = routing::admit(nullptr, keys, {"desk.example", "/a/x"});
     REQUIRE(made.refused);
     auto const refused = routing::refuse(*made.refused, false);
@@ -45,8 +45,8 @@
 TEST_CASE("keys that were confirmed too long ago are not acted on")
 {
     routing::route_table const table(keyed());
-    routing::freshness keys(5'000ms);
-    keys.confirm(start);
+    routing::key_lease keys(5'000ms);
+    keys.renew(start);
     routing::admission_request request{
         "desk.example", "/a/x", "secret", start + 4'800ms};
     CHECK(routing::admit(&table, keys, request).team != nullptr);
@@ -70,17 +70,17 @@
 
 TEST_CASE("a confirmation that comes late never makes a belief older")
 {
-    routing::freshness keys(5'000ms);
-    keys.confirm(start + 3'000ms);
-    keys.confirm(start);
-    CHECK(keys.may_use_keys(start + 7'000ms));
+    routing::key_lease keys(5'000ms);
+    keys.renew(start + 3'000ms);
+    keys.renew(start);
+    CHECK(keys.is_valid(start + 7'000ms));
 }
 
 TEST_CASE("keys are looked up, and their absence is told apart")
 {
     routing::route_table const table(keyed());
-    routing::freshness keys(5'000ms);
-    keys.confirm(start);
+    routing::key_lease keys(5'000ms);
+    keys.renew(start);
     auto const outcome = [&](char const* path, char const* key) {
         return routing::admit(&table, keys, {"desk.example", path, key, start})
             .refused;
@@ -118,30 +118,31 @@
 {
     auto booking = make_route("/a/", request_kind::at_most_once);
     booking.max_attempts = 2;
-    routing::try_state const once{1, 0, false};
-    CHECK(routing::may_try_again(booking, try_end::not_run, once));
-    for (auto const end : {try_end::broken, try_end::failed, try_end::silent}) {
-        CHECK(!routing::may_try_again(booking, end, once));
+    routing::attempt_state const once{1, 0, false};
+    CHECK(routing::may_retry(booking, attempt_end::not_run, once));
+    for (auto const end :
+         {attempt_end::broken, attempt_end::failed, attempt_end::silent}) {
+        CHECK(!routing::may_retry(booking, end, once));
     }
-    CHECK(routing::may_try_again(booking, try_end::unreachable, {0, 1, false}));
-    CHECK(!routing::may_try_again(booking, try_end::not_run, {2, 0, false}));
+    CHECK(routing::may_retry(booking, attempt_end::unreachable, {0, 1, false}));
+    CHECK(!routing::may_retry(booking, attempt_end::not_run, {2, 0, false}));
     auto stream = make_route("/s/", request_kind::stream);
     stream.max_attempts = 2;
-    CHECK(!routing::may_try_again(stream, try_end::broken, once));
+    CHECK(!routing::may_retry(stream, attempt_end::broken, once));
     stream.resumable = true;
-    CHECK(routing::may_try_again(stream, try_end::broken, once));
+    CHECK(routing::may_retry(stream, attempt_end::broken, once));
 }
 
 // All engines of a service fail at once on every host. Unbounded, each
 // request would be sent twice, when there is least room for it.
 TEST_CASE("second sends keep to their share of the requests")
 {
-    routing::retry_allowance allowance(0.2, 3.0);
+    routing::retry_budget allowance(0.2, 3.0);
     int taken = 0;
     constexpr int requests = 1'000;
     for (int sent = 0; sent < requests; ++sent) {
         allowance.record_request();
-        taken += allowance.try_take() ? 1 : 0;
+        taken += allowance.try_acquire() ? 1 : 0;
     }
     CHECK(taken <= requests / 5 + 3);
     CHECK(taken >= requests / 10);
@@ -149,12 +150,12 @@
 
 TEST_CASE("an idle host's budget doesn't grow beyond its part")
 {
-    routing::retry_allowance allowance(0.2, 2.0);
+    routing::retry_budget allowance(0.2, 2.0);
     for (int sent = 0; sent < 1'000; ++sent) {
         allowance.record_request();
     }
     int taken = 0;
-    while (allowance.try_take()) {
+    while (allowance.try_acquire()) {
         ++taken;
     }
     CHECK(taken == 2);
@@ -164,11 +165,11 @@
 // begins four seconds before the end is cut off in the middle.
 TEST_CASE("a stopping host takes only what it can finish")
 {
-    CHECK(routing::takes_new(1'000ms, 8'000ms, 15'000ms));
-    CHECK(!routing::takes_new(3'500ms, 8'000ms, 15'000ms));
-    CHECK(routing::takes_new(3'500ms, 8'000ms, 800ms));
-    CHECK(!routing::takes_new(7'500ms, 8'000ms, 800ms));
-    CHECK(!routing::takes_new(1'500ms, 2'000ms, 15'000ms));
+    CHECK(routing::accepts_request(1'000ms, 8'000ms, 15'000ms));
+    CHECK(!routing::accepts_request(3'500ms, 8'000ms, 15'000ms));
+    CHECK(routing::accepts_request(3'500ms, 8'000ms, 800ms));
+    CHECK(!routing::accepts_request(7'500ms, 8'000ms, 800ms));
+    CHECK(!routing::accepts_request(1'500ms, 2'000ms, 15'000ms));
 }
 
 // A stopping host cuts off what it has taken, and a caller loses its answer.
@@ -176,12 +177,12 @@
 {
     constexpr auto limit = 8'000ms;
     // The balancer's lag counts from the signal, which may be stamped late.
-    CHECK(!routing::takes_new(2'900ms, limit, 15'000ms));
+    CHECK(!routing::accepts_request(2'900ms, limit, 15'000ms));
     // The process leaves before the limit.
-    CHECK(!routing::takes_new(4'900ms, limit, 3'000ms));
+    CHECK(!routing::accepts_request(4'900ms, limit, 3'000ms));
     for (auto since = 2'900ms; since < limit; since += 10ms) {
         for (auto longest = 100ms; longest < limit; longest += 100ms) {
-            if (routing::takes_new(since, limit, longest)) {
+            if (routing::accepts_request(since, limit, longest)) {
                 CHECK(since + longest < limit - 250ms);
             }
         }
@@ -193,15 +194,15 @@
 // find all of them equally old, and callers with good keys be refused early.
 TEST_CASE("hosts of a fleet confirm their keys at different times")
 {
-    routing::watch_facts facts;
-    facts.peers = 6;
-    auto const shortest = routing::watch_wait(facts, 0.0);
-    auto const longest = routing::watch_wait(facts, 1.0);
+    routing::watch_inputs inputs;
+    inputs.peers = 6;
+    auto const shortest = routing::watch_wait(inputs, 0.0);
+    auto const longest = routing::watch_wait(inputs, 1.0);
     CHECK(longest - shortest >= 2'000ms);
-    CHECK(longest <= facts.key_lifetime * 3 / 5);
-    facts.peers = 0;
-    CHECK(routing::watch_wait(facts, 0.0) <= facts.key_lifetime * 2 / 5);
-    facts.peers = 70;
-    facts.is_shared = true;
-    CHECK(routing::watch_wait(facts, 1.0) < facts.apply_limit / 3);
+    CHECK(longest <= inputs.key_lifetime * 3 / 5);
+    inputs.peers = 0;
+    CHECK(routing::watch_wait(inputs, 0.0) <= inputs.key_lifetime * 2 / 5);
+    inputs.peers = 70;
+    inputs.is_shared = true;
+    CHECK(routing::watch_wait(inputs, 1.0) < inputs.apply_limit / 3);
 }
--- a/tests/routing/directory_test.cpp
+++ b/tests/routing/directory_test.cpp
@@ -23,7 +23,7 @@
     CHECK(directory.of_service("llm").size() == 2);
     directory.drop_missing(start + 2'000ms);
     REQUIRE(directory.of_service("llm").size() == 1);
-    CHECK(directory.of_service("llm")[0]->about.id == "e1");
+    CHECK(directory.of_service("llm")[0]->description.id == "e1");
 }
 
 TEST_CASE("an entry that is removed while all is calm is gone at once")
@@ -33,7 +33,7 @@
     auto const held = directory.find("e1");
     directory.remove("e1", start);
     CHECK(directory.of_service("llm").empty());
-    CHECK(held->gone);
+    CHECK(held->is_retired);
 }
 
 TEST_CASE("a draining engine gets no new request and stays known")
@@ -58,7 +58,7 @@
     again.started = 2;
     directory.put(again);
     CHECK(directory.find("e1") != before);
-    CHECK(before->gone);
+    CHECK(before->is_retired);
     CHECK(directory.of_service("llm").size() == 1);
 }
 
@@ -76,7 +76,7 @@
     routing::upstream_directory directory(measure);
     directory.put(engine("e1"));
     directory.put(engine("e2"));
-    directory.keep_only({"e2"}, start);
+    directory.retain_only({"e2"}, start);
     CHECK(directory.find("e1") == nullptr);
     CHECK(directory.find("e2") != nullptr);
 }
@@ -91,10 +91,10 @@
     suspects.record_crash(2, start + 1s);
     suspects.record_crash(1, start + 2s);
     CHECK(suspects.crashes_of(1, start + 3s)
-          >= routing::crash_suspects::most_crashes);
+          >= routing::crash_suspects::max_crashes);
     CHECK(suspects.crashes_of(2, start + 3s)
-          < routing::crash_suspects::most_crashes);
-    CHECK(suspects.to_tell(1, start + 3s)[0].fingerprint == 1);
+          < routing::crash_suspects::max_crashes);
+    CHECK(suspects.suspects_to_send(1, start + 3s)[0].fingerprint == 1);
     suspects.record_success(2);
     CHECK(suspects.crashes_of(2, start + 3s) == 0);
     CHECK(suspects.crashes_of(1, start + 10min) == 0);
--- a/tests/routing/fleet_gossip_test.cpp
+++ b/tests/routing/fleet_gossip_test.cpp
@@ -56,17 +56,17 @@
             own.generation = 1;
             own.sequence = m_sequence;
             own.data_centre = host.centre;
-            own.known.upstreams = host.revision;
+            own.revisions.upstreams = host.revision;
             own.loads = {{engine, {1, 100, 0}, {}}};
             if (suspects_of) {
                 own.suspects = suspects_of();
             }
-            auto const news = host.table.news(own);
-            for (auto const& to :
-                 host.table.audience(m_now, {host.revision}, is_news)) {
-                peer_digest told = news.of(to.what);
-                told.asks = to.asks;
-                if (to.wants_names) {
+            auto const news = host.table.make_digests(own);
+            for (auto const& to : host.table.recipients(
+                     m_now, {host.revision}, has_load_change)) {
+                peer_digest told = news.of(to.kind);
+                told.requests_reply = to.requests_reply;
+                if (to.wants_neighbours) {
                     told.neighbours =
                         host.table.neighbours_for(to.at, 16, m_draw += 7);
                 }
@@ -79,7 +79,7 @@
             }
         }
         for (member& host : m_hosts) {
-            host.table.add_up();
+            host.table.aggregate();
         }
     }
 
@@ -112,7 +112,7 @@
     /// What the next host suspects.
     std::function<std::vector<routing::crash_suspect>()> suspects_of;
     /// All loads are news in each round.
-    bool is_news = false;
+    bool has_load_change = false;
     std::size_t sent = 0;
     /// Those that crossed between data centres.
     std::size_t sent_far = 0;
@@ -134,7 +134,7 @@
     {
         for (member& host : m_hosts) {
             if (host.self == to && !host.is_down) {
-                host.table.hear(from, told, m_now);
+                host.table.record_digest(from, told, m_now);
             }
         }
     }
@@ -171,7 +171,7 @@
             CHECK(host.table.alive() == static_cast<std::size_t>(count - 1));
             CHECK(host.table.load_of(engine).load.running
                   == static_cast<std::uint32_t>(count - 1));
-            readers += host.table.is_reader() ? 1 : 0;
+            readers += host.table.is_store_watcher() ? 1 : 0;
         }
         int const wanted = count <= 12 ? count : std::max(5, centres);
         CHECK(readers >= wanted);
@@ -200,7 +200,7 @@
     fleet.rounds(30);
     std::uint32_t left = 0;
     for (gossip::member& host : fleet.hosts()) {
-        host.is_down = host.table.speaks() || host.self == gossip::at(0)
+        host.is_down = host.table.is_aggregator() || host.self == gossip::at(0)
                        || host.self == gossip::at(35)
                        || host.self == gossip::at(70);
         left += host.is_down ? 0 : 1;
@@ -226,7 +226,8 @@
         for (gossip::member& host : fleet.hosts()) {
             // It is fetched from whoever has it.
             if (host.table
-                    .newer_than({host.revision}, routing::lane::upstreams, 0)
+                    .newer_than(
+                        {host.revision}, routing::list_kind::upstreams, 0)
                     .at
                 != nullptr) {
                 host.revision = 2;
@@ -288,7 +289,7 @@
     gossip::member& reader = fleet.hosts()[7];
     reader.revision = 2;
     auto const told =
-        reader.table.audience_of_change(fleet.now(), {reader.revision}, 5);
+        reader.table.recipients_of_change(fleet.now(), {reader.revision}, 5);
     CHECK(told.size() >= 8);
     CHECK(told.size() <= 20);
 }
@@ -302,12 +303,13 @@
     fleet.rounds(30);
     int speakers_told = 0;
     for (gossip::member& host : fleet.hosts()) {
-        if (!host.table.speaks()) {
+        if (!host.table.is_aggregator()) {
             continue;
         }
-        auto const told = host.table.audience_of_change(fleet.now(), {2}, 0);
+        auto const told = host.table.recipients_of_change(fleet.now(), {2}, 0);
         for (auto const& to : told) {
-            speakers_told += to.what == routing::share::sums ? 1 : 0;
+            speakers_told +=
+                to.kind == routing::digest_kind::aggregated_loads ? 1 : 0;
         }
     }
     // Each of six tells five.
@@ -328,7 +330,7 @@
     // Of 8 hosts in 3 data centres, 42 pairs stand apart.
     CHECK(fleet.sent_far <= std::size_t{42} * 13);
     CHECK(fleet.sent_far >= std::size_t{42} * 12);
-    fleet.is_news = true;
+    fleet.has_load_change = true;
     fleet.sent_far = 0;
     fleet.round();
     CHECK(fleet.sent_far == 42);
@@ -342,14 +344,14 @@
     fleet.rounds(30);
     auto const told_far = [&fleet](gossip::member& host,
                                    routing::store_revisions const& known) {
-        auto const told = host.table.audience(fleet.now(), known, false);
+        auto const told = host.table.recipients(fleet.now(), known, false);
         return std::count_if(told.begin(), told.end(), [](auto const& to) {
-            return to.what == routing::share::beliefs;
+            return to.kind == routing::digest_kind::presence;
         });
     };
     std::size_t relaying = 0;
     for (gossip::member& host : fleet.hosts()) {
-        if (!host.table.relays()) {
+        if (!host.table.is_gateway()) {
             continue;
         }
         ++relaying;
--- a/tests/routing/overload_test.cpp
+++ b/tests/routing/overload_test.cpp
@@ -1,5 +1,5 @@
-#include "routing/lane_size.hpp"
 #include "routing/overload_rule.hpp"
+#include "routing/reserved_engines.hpp"
 #include "routing/support.hpp"
 
 #include <doctest/doctest.h>
@@ -8,18 +8,18 @@
 
 using namespace caperjunction;
 using namespace caperjunction::test;
-using routing::lane_facts;
-using routing::overload_facts;
+using routing::overload_inputs;
+using routing::reservation_inputs;
 
 namespace {
 
-overload_facts bulk(model::milliseconds forecast)
+overload_inputs bulk(model::milliseconds forecast)
 {
-    overload_facts facts;
-    facts.forecast = forecast;
-    facts.target = 1'500ms;
-    facts.is_least_urgent = true;
-    return facts;
+    overload_inputs inputs;
+    inputs.forecast = forecast;
+    inputs.target = 1'500ms;
+    inputs.is_least_urgent = true;
+    return inputs;
 }
 
 /// Prompts that come at twice the pace at which one engine reads them; each
@@ -56,7 +56,8 @@
                 model::milliseconds now,
                 std::deque<model::milliseconds>* returns)
     {
-        auto const back = routing::comes_back_after(bulk(queued + read_time));
+        auto const back =
+            routing::overload_retry_after(bulk(queued + read_time));
         if (turns_away && back) {
             if (returns != nullptr) {
                 returns->push_back(now + *back);
@@ -72,31 +73,31 @@
 
 TEST_CASE("prompts that will be in time are taken, whatever their rank")
 {
-    CHECK(!routing::comes_back_after(bulk(900ms)));
-    overload_facts middle;
+    CHECK(!routing::overload_retry_after(bulk(900ms)));
+    overload_inputs middle;
     middle.forecast = 600ms;
     middle.target = 500ms;
-    CHECK(!routing::comes_back_after(middle));
+    CHECK(!routing::overload_retry_after(middle));
 }
 
 // Under overload the least urgent give way first; the most urgent never do.
 TEST_CASE("the least urgent are turned away first, the most urgent never")
 {
-    auto facts = bulk(1'200ms);
-    CHECK(routing::comes_back_after(facts));
-    facts.is_least_urgent = false;
-    CHECK(!routing::comes_back_after(facts));
-    facts.forecast = 3'000ms;
-    CHECK(routing::comes_back_after(facts));
-    facts.is_most_urgent = true;
-    CHECK(!routing::comes_back_after(facts));
+    auto inputs = bulk(1'200ms);
+    CHECK(routing::overload_retry_after(inputs));
+    inputs.is_least_urgent = false;
+    CHECK(!routing::overload_retry_after(inputs));
+    inputs.forecast = 3'000ms;
+    CHECK(routing::overload_retry_after(inputs));
+    inputs.is_most_urgent = true;
+    CHECK(!routing::overload_retry_after(inputs));
 }
 
 TEST_CASE("who is turned away is told when the queue will have shrunk")
 {
-    CHECK(*routing::comes_back_after(bulk(1'700ms)) == 800ms);
-    CHECK(*routing::comes_back_after(bulk(901ms)) == 300ms);
-    CHECK(*routing::comes_back_after(bulk(60'000ms)) == 2'000ms);
+    CHECK(*routing::overload_retry_after(bulk(1'700ms)) == 800ms);
+    CHECK(*routing::overload_retry_after(bulk(901ms)) == 300ms);
+    CHECK(*routing::overload_retry_after(bulk(60'000ms)) == 2'000ms);
 }
 
 // Long prompts come twice as fast as they are read. Taken all, they queue
@@ -116,37 +117,37 @@
 
 TEST_CASE("the lane of urgent streams follows their number")
 {
-    lane_facts facts;
-    facts.engines = 90;
-    facts.slots = 48;
-    std::size_t const at_rest = routing::lane_size(facts);
+    reservation_inputs inputs;
+    inputs.engines = 90;
+    inputs.slots = 48;
+    std::size_t const at_rest = routing::reserved_engine_count(inputs);
     CHECK(at_rest >= 9);
     CHECK(at_rest <= 15);
     std::size_t before = at_rest;
     for (std::uint32_t streams : {200U, 800U, 1'200U, 1'600U}) {
-        facts.urgent_streams = streams;
-        std::size_t const now = routing::lane_size(facts);
+        inputs.urgent_streams = streams;
+        std::size_t const now = routing::reserved_engine_count(inputs);
         CHECK(now >= before);
         // They fit, with room for what others have just sent.
-        CHECK(static_cast<double>(now) * facts.slots >= streams * 1.2);
+        CHECK(static_cast<double>(now) * inputs.slots >= streams * 1.2);
         before = now;
     }
-    facts.urgent_streams = 100'000;
-    CHECK(routing::lane_size(facts) <= 60);
+    inputs.urgent_streams = 100'000;
+    CHECK(routing::reserved_engine_count(inputs) <= 60);
 }
 
 TEST_CASE("few engines are divided too, and very few not at all")
 {
-    lane_facts facts;
-    facts.slots = 128;
-    facts.engines = 2;
-    CHECK(routing::lane_size(facts) == 0);
-    facts.engines = 3;
-    CHECK(routing::lane_size(facts) == 1);
-    facts.urgent_streams = 10'000;
-    CHECK(routing::lane_size(facts) == 1);
+    reservation_inputs inputs;
+    inputs.slots = 128;
+    inputs.engines = 2;
+    CHECK(routing::reserved_engine_count(inputs) == 0);
+    inputs.engines = 3;
+    CHECK(routing::reserved_engine_count(inputs) == 1);
+    inputs.urgent_streams = 10'000;
+    CHECK(routing::reserved_engine_count(inputs) == 1);
     // One of the lane may crash.
-    facts.urgent_streams = 50;
-    facts.engines = 12;
-    CHECK(routing::lane_size(facts) == 3);
+    inputs.urgent_streams = 50;
+    inputs.engines = 12;
+    CHECK(routing::reserved_engine_count(inputs) == 3);
 }
--- a/tests/routing/pace_test.cpp
+++ b/tests/routing/performance_test.cpp
@@ -1,4 +1,4 @@
-#include "routing/pace_meter.hpp"
+#include "routing/performance_meter.hpp"
 #include "routing/support.hpp"
 
 #include <doctest/doctest.h>
@@ -10,8 +10,8 @@
 
 using namespace caperjunction;
 using namespace caperjunction::test;
-using routing::pace_meter;
-using routing::upstream_pace;
+using routing::performance_meter;
+using routing::upstream_performance;
 
 namespace {
 
@@ -35,8 +35,9 @@
             m_hosts.push_back(std::move(made));
         }
         m_chat.latency_target = 500ms;
-        m_chat.pause_target = 200ms;
-        m_slow = m_hosts[0]->directory.lane_order("llm")[0]->about.id;
+        m_chat.max_event_gap = 200ms;
+        m_slow =
+            m_hosts[0]->directory.reservation_order("llm")[0]->description.id;
     }
 
     void play()
@@ -78,15 +79,17 @@
         for (auto const& to : m_hosts) {
             to->directory.each([&](routing::upstream_state& state) {
                 state.others = {};
-                state.others_pace = {};
+                state.others_performance = {};
                 for (auto const& from : m_hosts) {
-                    auto const told = from->directory.find(state.about.id);
+                    auto const told =
+                        from->directory.find(state.description.id);
                     if (from == to) {
                         continue;
                     }
                     state.others.add(told->own);
                     if (shares_pace) {
-                        state.others_pace.merge(told->own_pace.pace(m_now));
+                        state.others_performance.merge(
+                            told->own_performance.performance(m_now));
                     }
                 }
             });
@@ -108,17 +111,17 @@
         auto const chosen = by.picker.choose(request, m_now);
         chosen.to->own.running += 1;
         chosen.to->own.urgent += 1;
-        (chosen.to->about.id == m_slow ? in_jerks : smooth) += 1;
+        (chosen.to->description.id == m_slow ? in_jerks : smooth) += 1;
         m_streams.push_back({chosen.to, m_now + stay});
     }
 
     void stream()
     {
         for (running_stream const& item : m_streams) {
-            bool const is_slow = item.at->about.id == m_slow;
+            bool const is_slow = item.at->description.id == m_slow;
             if (knows_pace) {
-                item.at->own_pace.note_pause(is_slow ? slow_pause : usual_pause,
-                                             m_now);
+                item.at->own_performance.record_gap(
+                    is_slow ? slow_pause : usual_pause, m_now);
             }
             if (item.ends <= m_now) {
                 item.at->own.running -= 1;
@@ -143,52 +146,52 @@
 
 TEST_CASE("an engine whose first events come late is slow, until it isn't")
 {
-    pace_meter meter;
-    CHECK(meter.pace(start).voters == 0);
+    performance_meter meter;
+    CHECK(meter.performance(start).observers == 0);
     for (int number = 0; number < 10; ++number) {
         meter.end(meter.begin(start, 100ms), start + 400ms);
     }
-    CHECK(meter.pace(start + 1s).slowness > 3.5);
+    CHECK(meter.performance(start + 1s).slowdown > 3.5);
     for (int number = 0; number < 10; ++number) {
         meter.end(meter.begin(start + 1s, 100ms), start + 1'100ms);
     }
-    CHECK(meter.pace(start + 1s).slowness < 1.3);
+    CHECK(meter.performance(start + 1s).slowdown < 1.3);
 }
 
 // An engine turns slow while prompts wait there. Until the first of them is
 // read nothing comes from it, and callers are sent after those that wait.
 TEST_CASE("a request that waits far beyond its forecast tells of slowness")
 {
-    pace_meter meter;
+    performance_meter meter;
     auto const waiting = meter.begin(start, 300ms);
-    CHECK(meter.pace(start + 400ms).voters == 0);
-    CHECK(meter.pace(start + 1'500ms).slowness == doctest::Approx(5.0));
+    CHECK(meter.performance(start + 400ms).observers == 0);
+    CHECK(meter.performance(start + 1'500ms).slowdown == doctest::Approx(5.0));
     meter.drop(waiting);
-    CHECK(meter.pace(start + 1'500ms).voters == 0);
+    CHECK(meter.performance(start + 1'500ms).observers == 0);
 }
 
 TEST_CASE("what was seen long ago tells nothing")
 {
-    pace_meter meter;
+    performance_meter meter;
     meter.end(meter.begin(start, 100ms), start + 800ms);
-    meter.note_pause(700ms, start);
-    CHECK(meter.pace(start + 1s).voters == 1);
-    CHECK(meter.pace(start + 1s).pause == 350ms);
-    CHECK(meter.pace(start + 10s).voters == 0);
-    CHECK(meter.pace(start + 10s).pause < 2ms);
+    meter.record_gap(700ms, start);
+    CHECK(meter.performance(start + 1s).observers == 1);
+    CHECK(meter.performance(start + 1s).longest_gap == 350ms);
+    CHECK(meter.performance(start + 10s).observers == 0);
+    CHECK(meter.performance(start + 10s).longest_gap < 2ms);
 }
 
 TEST_CASE("hosts' views of a pace are averaged, the longest pause counts")
 {
-    upstream_pace all{2.0, 1, 50ms};
+    upstream_performance all{2.0, 1, 50ms};
     all.merge({4.0, 1, 200ms});
-    CHECK(all.slowness == doctest::Approx(3.0));
-    CHECK(all.pause == 200ms);
+    CHECK(all.slowdown == doctest::Approx(3.0));
+    CHECK(all.longest_gap == 200ms);
     all.merge({9.0, 0, 0ms});
-    CHECK(all.slowness == doctest::Approx(3.0));
-    upstream_pace none;
+    CHECK(all.slowdown == doctest::Approx(3.0));
+    upstream_performance none;
     none.merge(all);
-    CHECK(none.slowness == doctest::Approx(3.0));
+    CHECK(none.slowdown == doctest::Approx(3.0));
 }
 
 // One of the engines for urgent streams turns five times slower. First events
--- a/tests/routing/picker_test.cpp
+++ b/tests/routing/picker_test.cpp
@@ -21,7 +21,7 @@
     routing::route bulk = make_route("/bulk/", request_kind::stream, 2);
     routing::route chat = make_route("/chat/", request_kind::stream, 0);
     routing::prompt prompt;
-    std::vector<std::string> tried;
+    std::vector<std::string> attempted;
     std::uint32_t urgent_streams = 0;
 
     explicit site(int engines)
@@ -46,7 +46,7 @@
         request.prompt = &prompt;
         request.service = "llm";
         request.body_bytes = std::size_t{prompt.tokens} * 2;
-        request.tried = &tried;
+        request.attempted = &attempted;
         request.is_most_urgent = route.rank == 0;
         request.urgent_streams = urgent_streams;
         auto chosen = picker.choose(request, start);
@@ -67,12 +67,13 @@
     for (std::uint64_t subject = 10; subject < 60; ++subject) {
         auto const first = one.place(one.bulk, subject, 4'000, 2'000);
         REQUIRE(first.to);
-        CHECK(first.cold_tokens == 0);
-        CHECK(first.to->about.id
-              == one.place(one.bulk, subject, 4'000, 2'000).to->about.id);
-        CHECK(first.to->about.id
-              == other.place(other.bulk, subject, 4'000, 2'000).to->about.id);
-        used.insert(first.to->about.id);
+        CHECK(first.uncached_tokens == 0);
+        CHECK(first.to->description.id
+              == one.place(one.bulk, subject, 4'000, 2'000).to->description.id);
+        CHECK(first.to->description.id
+              == other.place(other.bulk, subject, 4'000, 2'000)
+                     .to->description.id);
+        used.insert(first.to->description.id);
     }
     CHECK(used.size() >= 6);
 }
@@ -85,16 +86,16 @@
     std::map<std::uint64_t, std::string> homes;
     for (std::uint64_t subject = 10; subject < 110; ++subject) {
         homes[subject] =
-            whole.place(whole.bulk, subject, 4'000, 2'000).to->about.id;
+            whole.place(whole.bulk, subject, 4'000, 2'000).to->description.id;
     }
     site broken(12);
     std::string const lost = homes.begin()->second;
     broken.directory.find(lost)->health.record_unreachable(start);
     for (auto const& [subject, home] : homes) {
         auto const now = broken.place(broken.bulk, subject, 4'000, 2'000);
-        CHECK(now.to->about.id != lost);
+        CHECK(now.to->description.id != lost);
         if (home != lost) {
-            CHECK(now.to->about.id == home);
+            CHECK(now.to->description.id == home);
         }
     }
 }
@@ -107,8 +108,10 @@
     std::set<std::string> chats;
     std::set<std::string> bulks;
     for (std::uint64_t subject = 10; subject < 110; ++subject) {
-        chats.insert(calm.place(calm.chat, subject, 60, 500).to->about.id);
-        bulks.insert(calm.place(calm.bulk, subject, 4'000, 2'000).to->about.id);
+        chats.insert(
+            calm.place(calm.chat, subject, 60, 500).to->description.id);
+        bulks.insert(
+            calm.place(calm.bulk, subject, 4'000, 2'000).to->description.id);
     }
     for (std::string const& id : chats) {
         CHECK(bulks.count(id) == 0);
@@ -119,20 +122,21 @@
 {
     site full(12);
     auto const home = full.place(full.bulk, 10, 4'000, 2'000).to;
-    home->others.unread_tokens = 500'000;
+    home->others.pending_prefill_tokens = 500'000;
     auto const away = full.place(full.bulk, 10, 4'000, 2'000);
     CHECK(away.to != home);
     site same(12);
-    same.directory.find(home->about.id)->others.unread_tokens = 500'000;
-    CHECK(same.place(same.bulk, 10, 4'000, 2'000).to->about.id
-          == away.to->about.id);
+    same.directory.find(home->description.id)->others.pending_prefill_tokens =
+        500'000;
+    CHECK(same.place(same.bulk, 10, 4'000, 2'000).to->description.id
+          == away.to->description.id);
 }
 
 TEST_CASE("a little load is no reason to read a prompt anew elsewhere")
 {
     site calm(12);
     auto const home = calm.place(calm.bulk, 10, 4'000, 2'000).to;
-    home->own.unread_tokens = 8'000;
+    home->own.pending_prefill_tokens = 8'000;
     CHECK(calm.place(calm.bulk, 10, 4'000, 2'000).to == home);
 }
 
@@ -151,13 +155,13 @@
 {
     routing::upstream_health health;
     health.record_unreachable(start);
-    CHECK(health.is_resting(start));
-    CHECK(!health.is_resting(start + 500ms));
+    CHECK(health.is_backing_off(start));
+    CHECK(!health.is_backing_off(start + 500ms));
     for (int again = 0; again < 10; ++again) {
         health.record_unreachable(start + 1s);
     }
-    CHECK(health.is_resting(start + 3s));
-    CHECK(!health.is_resting(start + 5s));
+    CHECK(health.is_backing_off(start + 3s));
+    CHECK(!health.is_backing_off(start + 5s));
     CHECK(health.failure_share(start + 60s) < 0.01);
 }
 
@@ -165,11 +169,11 @@
 {
     site small(2);
     auto const first = small.place(small.bulk, 10, 4'000, 2'000);
-    small.tried.push_back(first.to->about.id);
+    small.attempted.push_back(first.to->description.id);
     auto const second = small.place(small.bulk, 10, 4'000, 2'000);
     REQUIRE(second.to);
     CHECK(second.to != first.to);
-    small.tried.push_back(second.to->about.id);
+    small.attempted.push_back(second.to->description.id);
     CHECK(!small.place(small.bulk, 10, 4'000, 2'000).to);
 }
 
@@ -195,7 +199,7 @@
         auto const chosen = busy.place(busy.chat, subject, 60, 500);
         REQUIRE(chosen.to);
         chosen.to->own.running += 1;
-        ++running[chosen.to->about.id];
+        ++running[chosen.to->description.id];
     }
     for (auto const& [id, streams] : running) {
         // An engine has 64 slots.
@@ -209,13 +213,15 @@
     site calm(24);
     std::set<std::string> bulks;
     for (std::uint64_t subject = 10; subject < 400; ++subject) {
-        bulks.insert(calm.place(calm.bulk, subject, 4'000, 2'000).to->about.id);
+        bulks.insert(
+            calm.place(calm.bulk, subject, 4'000, 2'000).to->description.id);
     }
     CHECK(bulks.size() == 21);
     calm.urgent_streams = 500;
     bulks.clear();
     for (std::uint64_t subject = 10; subject < 400; ++subject) {
-        bulks.insert(calm.place(calm.bulk, subject, 4'000, 2'000).to->about.id);
+        bulks.insert(
+            calm.place(calm.bulk, subject, 4'000, 2'000).to->description.id);
     }
     CHECK(bulks.size() == 12);
 }
@@ -236,16 +242,16 @@
             engine("e" + std::to_string(19 - number),
                    std::string(1, static_cast<char>('a' + (19 - number) % 4))));
     }
-    auto const& ours = here.lane_order("llm");
-    auto const& theirs = there.lane_order("llm");
+    auto const& ours = here.reservation_order("llm");
+    auto const& theirs = there.reservation_order("llm");
     REQUIRE(ours.size() == 20);
     REQUIRE(theirs.size() == 20);
     std::set<std::string> first_centres;
     for (std::size_t place = 0; place < ours.size(); ++place) {
-        CHECK(ours[place]->about.id == theirs[place]->about.id);
-        CHECK(ours[place]->lane_place == place);
+        CHECK(ours[place]->description.id == theirs[place]->description.id);
+        CHECK(ours[place]->reservation_rank == place);
         if (place < 4) {
-            first_centres.insert(ours[place]->about.data_centre);
+            first_centres.insert(ours[place]->description.data_centre);
         }
     }
     CHECK(first_centres.size() == 4);
@@ -261,9 +267,9 @@
         auto const subject = static_cast<std::uint64_t>(10 + number % 7);
         auto const chosen = busy.place(busy.bulk, subject, 4'000, 2'000);
         REQUIRE(chosen.to);
-        std::uint64_t const work = 2'000 + chosen.cold_tokens;
-        chosen.to->own.unread_tokens += work;
-        sent[chosen.to->about.id] += work;
+        std::uint64_t const work = 2'000 + chosen.uncached_tokens;
+        chosen.to->own.pending_prefill_tokens += work;
+        sent[chosen.to->description.id] += work;
     }
     std::uint64_t most = 0;
     for (auto const& [id, work] : sent) {
@@ -286,9 +292,9 @@
     request.route = &route;
     request.prompt = &none;
     request.service = "ledger";
-    CHECK(picker.choose(request, start).to->about.id == "near");
+    CHECK(picker.choose(request, start).to->description.id == "near");
     directory.find("near")->own.running = 2'000;
-    CHECK(picker.choose(request, start).to->about.id == "far");
+    CHECK(picker.choose(request, start).to->description.id == "far");
 }
 
 // The engine of urgent streams nearby turns slow. Its first events still come
@@ -298,13 +304,15 @@
 {
     site slow(12);
     auto const usual = slow.place(slow.chat, 10, 60, 500).to;
-    slow.chat.pause_target = 200ms;
-    usual->others_pace.pause = 600ms;
+    slow.chat.max_event_gap = 200ms;
+    usual->others_performance.longest_gap = 600ms;
     CHECK(slow.place(slow.chat, 10, 60, 500).to != usual);
     site calm(12);
-    calm.chat.pause_target = 200ms;
-    calm.directory.find(usual->about.id)->others_pace.pause = 100ms;
-    CHECK(calm.place(calm.chat, 10, 60, 500).to->about.id == usual->about.id);
+    calm.chat.max_event_gap = 200ms;
+    calm.directory.find(usual->description.id)->others_performance.longest_gap =
+        100ms;
+    CHECK(calm.place(calm.chat, 10, 60, 500).to->description.id
+          == usual->description.id);
 }
 
 // An engine comes back and the order of engines for urgent streams changes.
--- a/tests/routing/route_table_test.cpp
+++ b/tests/routing/route_table_test.cpp
@@ -26,8 +26,8 @@
     routing::route split = make_route("/a/", request_kind::idempotent);
     split.split = {{"old", 90}, {"new", 10}};
     std::map<std::string, int> taken;
-    for (std::uint64_t draw = 0; draw < 1'000; ++draw) {
-        ++taken[routing::route_table::pick_service(split, draw)];
+    for (std::uint64_t random_value = 0; random_value < 1'000; ++random_value) {
+        ++taken[routing::route_table::pick_service(split, random_value)];
     }
     CHECK(taken["old"] == 900);
     CHECK(taken["new"] == 100);
@@ -43,10 +43,10 @@
                     make_route("/long/", request_kind::stream, 2)};
     lists.teams = {{"high", {"k1"}, 0U}, {"low", {"k2"}, 1U}, {"none", {}, {}}};
     routing::route_table const table(lists);
-    auto const& chat = table.lists().routes[0];
-    auto const& bulk = table.lists().routes[1];
-    auto const& high = table.lists().teams[0];
-    auto const& low = table.lists().teams[1];
+    auto const& chat = table.config().routes[0];
+    auto const& bulk = table.config().routes[1];
+    auto const& high = table.config().teams[0];
+    auto const& low = table.config().teams[1];
     CHECK(table.urgency(chat, &high) < table.urgency(chat, &low));
     CHECK(table.urgency(chat, &low) < table.urgency(bulk, &high));
     CHECK(table.urgency(bulk, &high) < table.urgency(bulk, &low));
@@ -63,8 +63,8 @@
     }
     routing::route_table const table(lists);
     std::uint32_t before = 0;
-    for (auto const& route : table.lists().routes) {
-        for (auto const& team : table.lists().teams) {
+    for (auto const& route : table.config().routes) {
+        for (auto const& team : table.config().teams) {
             std::uint32_t const now = table.urgency(route, &team);
             CHECK(now >= before);
             CHECK(now <= routing::route_table::least_urgent);
--- a/tests/routing/support.hpp
+++ b/tests/routing/support.hpp
@@ -48,7 +48,7 @@
     made.prefix = prefix;
     made.kind = kind;
     made.rank = rank;
-    made.by_prompt = kind == routing::request_kind::stream;
+    made.has_prompt_affinity = kind == routing::request_kind::stream;
     made.split = {{"llm", 1}};
     return made;
 }
--- a/tests/routing/upstream_limit_test.cpp
+++ b/tests/routing/upstream_limit_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace caperjunction;
 using namespace std::chrono_literals;
-using routing::limit_place;
+using routing::limit_share;
 using routing::upstream_limit;
 
 namespace {
@@ -28,14 +28,15 @@
     std::vector<upstream_limit> hosts;
     std::vector<model::time_point> sent;
 
-    fleet(std::size_t count, double a_second)
+    fleet(std::size_t count, double requests_per_second)
         : hosts(count)
     {
         for (std::size_t rank = 0; rank < count; ++rank) {
-            limit_place place{rank, count, true, count};
-            place.turn = static_cast<double>(rank) / static_cast<double>(count);
-            hosts[rank].note({a_second, start});
-            hosts[rank].share(place);
+            limit_share place{rank, count, true, count};
+            place.phase =
+                static_cast<double>(rank) / static_cast<double>(count);
+            hosts[rank].update({requests_per_second, start});
+            hosts[rank].set_share(place);
         }
     }
 
@@ -65,9 +66,9 @@
 };
 
 /// What an upstream that names `a_second` may get in a window.
-double allowed(double a_second)
+double allowed(double requests_per_second)
 {
-    return 1.5 * a_second * model::seconds(window).count() + 5.0;
+    return 1.5 * requests_per_second * model::seconds(window).count() + 5.0;
 }
 
 } // namespace
@@ -77,15 +78,16 @@
 TEST_CASE("a fleet keeps an upstream's limit, from the first moment on")
 {
     for (std::size_t const count : {1, 3, 7, 12, 70}) {
-        for (double const a_second : {0.0, 0.1, 0.5, 1.3, 1.6, 5.0, 40.0}) {
+        for (double const requests_per_second :
+             {0.0, 0.1, 0.5, 1.3, 1.6, 5.0, 40.0}) {
             CAPTURE(count);
-            CAPTURE(a_second);
-            fleet busy(count, a_second);
+            CAPTURE(requests_per_second);
+            fleet busy(count, requests_per_second);
             busy.run(0s, 60s);
-            CHECK(busy.most_in_a_window() <= allowed(a_second));
-            fleet idle(count, a_second);
+            CHECK(busy.most_in_a_window() <= allowed(requests_per_second));
+            fleet idle(count, requests_per_second);
             idle.run(8s, 14s);
-            CHECK(idle.most_in_a_window() <= allowed(a_second));
+            CHECK(idle.most_in_a_window() <= allowed(requests_per_second));
         }
     }
 }
@@ -94,12 +96,13 @@
 TEST_CASE("most of what a limited upstream takes is sent")
 {
     for (std::size_t const count : {1, 7, 12, 70}) {
-        for (double const a_second : {0.5, 1.6, 5.0}) {
+        for (double const requests_per_second : {0.5, 1.6, 5.0}) {
             CAPTURE(count);
-            CAPTURE(a_second);
-            fleet busy(count, a_second);
+            CAPTURE(requests_per_second);
+            fleet busy(count, requests_per_second);
             busy.run(0s, 14s);
-            CHECK(static_cast<double>(busy.sent.size()) >= a_second * 14 * 0.5);
+            CHECK(static_cast<double>(busy.sent.size())
+                  >= requests_per_second * 14 * 0.5);
         }
     }
 }
@@ -108,18 +111,18 @@
 // it has ended.
 TEST_CASE("an upstream whose limit nobody hears of is tried again, by few")
 {
-    for (double const a_second : {0.0, 1.6}) {
-        fleet others(70, a_second);
+    for (double const requests_per_second : {0.0, 1.6}) {
+        fleet others(70, requests_per_second);
         for (upstream_limit& host : others.hosts) {
-            limit_place place = host.place();
-            place.is_among_them = false;
-            host.share(place);
+            limit_share place = host.share();
+            place.participates = false;
+            host.set_share(place);
         }
         others.run(0s, 15s);
         CHECK(others.sent.empty());
         others.run(15s, 60s);
         CHECK(!others.sent.empty());
-        CHECK(others.most_in_a_window() <= allowed(a_second));
+        CHECK(others.most_in_a_window() <= allowed(requests_per_second));
     }
 }
 
@@ -128,13 +131,13 @@
     upstream_limit limit;
     CHECK(!limit.is_limited());
     CHECK(limit.may_send(start));
-    CHECK(limit.note({1.0, start}));
-    CHECK(!limit.note({2.0, start + 1s}));
+    CHECK(limit.update({1.0, start}));
+    CHECK(!limit.update({2.0, start + 1s}));
     // Older: from a host that heard it before.
-    CHECK(!limit.note({std::nullopt, start + 500ms}));
+    CHECK(!limit.update({std::nullopt, start + 500ms}));
     CHECK(limit.is_limited());
-    CHECK(*limit.notice().a_second == 2.0);
-    CHECK(limit.note({std::nullopt, start + 2s}));
+    CHECK(*limit.notice().requests_per_second == 2.0);
+    CHECK(limit.update({std::nullopt, start + 2s}));
     CHECK(limit.may_send(start + 2s));
 }
 
@@ -160,12 +163,12 @@
                 told.generation = 1;
                 told.sequence = 1;
                 told.data_centre = 1 + other % 3;
-                table.hear(at(other), told, start);
+                table.record_digest(at(other), told, start);
             }
         }
-        auto const place = table.place_for(engine, own % 3 == 0);
+        auto const place = table.limit_share_for(engine, own % 3 == 0);
         CHECK(place.hosts == count);
-        CHECK(place.is_among_them);
+        CHECK(place.participates);
         ranks.push_back(place.rank);
     }
     std::sort(ranks.begin(), ranks.end());
@@ -184,18 +187,18 @@
     told.data_centre = 1;
     told.sequence = 1;
     told.limits = {{7, 1.5, 200ms}};
-    table.hear(at(1), told, start);
+    table.record_digest(at(1), told, start);
     told.limits = {{7, std::nullopt, 100ms}};
-    table.hear(at(2), told, start);
-    table.add_up();
+    table.record_digest(at(2), told, start);
+    table.aggregate();
     REQUIRE(table.limit_of(7));
-    CHECK(!table.limit_of(7)->a_second);
-    CHECK(table.limit_of(7)->heard_at == start - 100ms);
+    CHECK(!table.limit_of(7)->requests_per_second);
+    CHECK(table.limit_of(7)->received_at == start - 100ms);
     told.sequence = 2;
     told.limits = {{7, 1.2, 0ms}};
-    table.hear(at(1), told, start + 1s);
-    table.add_up();
-    CHECK(table.limit_of(7)->a_second == 1.2);
+    table.record_digest(at(1), told, start + 1s);
+    table.aggregate();
+    CHECK(table.limit_of(7)->requests_per_second == 1.2);
     CHECK(!table.limit_of(8));
 }
 
@@ -203,7 +206,7 @@
 {
     constexpr int hosts_of_one = 8;
     // This host speaks for centre 1 if no other of it ranks before.
-    std::vector<routing::peer_digest> sums;
+    std::vector<routing::peer_digest> aggregated_loads;
     for (int own = 0; own < hosts_of_one; ++own) {
         routing::peer_table table(at(own), 1, {});
         for (int other = 0; other < 2 * hosts_of_one; ++other) {
@@ -214,24 +217,24 @@
             told.generation = 1;
             told.sequence = 1;
             told.data_centre = other < hosts_of_one ? 1 : 2;
-            told.speaks = other == hosts_of_one;
+            told.is_aggregator = other == hosts_of_one;
             if (other == (own + 1) % hosts_of_one) {
                 told.limits = {{7, 1.5, 200ms}};
             }
-            if (told.speaks) {
+            if (told.is_aggregator) {
                 told.limits = {{8, 2.5, 300ms}};
             }
-            table.hear(at(other), told, start);
+            table.record_digest(at(other), told, start);
         }
-        if (table.speaks()) {
-            auto const news = table.news({});
-            sums.push_back(news.sums);
+        if (table.is_aggregator()) {
+            auto const news = table.make_digests({});
+            aggregated_loads.push_back(news.aggregated_loads);
             REQUIRE(news.loads.limits.size() == 1);
             CHECK(news.loads.limits[0].upstream == 8);
             CHECK(news.loads.limits[0].age == 300ms);
         }
     }
-    REQUIRE(sums.size() == 1);
-    REQUIRE(sums[0].limits.size() == 1);
-    CHECK(sums[0].limits[0].upstream == 7);
+    REQUIRE(aggregated_loads.size() == 1);
+    REQUIRE(aggregated_loads[0].limits.size() == 1);
+    CHECK(aggregated_loads[0].limits[0].upstream == 7);
 }
