--- a/bench/claims_explorer/main.cpp
+++ b/bench/claims_explorer/main.cpp
@@ -83,7 +83,8 @@
         fixed.checks_fencing = checks;
         fixed.settings.loads_per_minute = s_unbounded_loads;
         if (absl::GetFlag(FLAGS_off) == "no_quiet_time") {
-            fixed.settings.quiet = fixed.settings.quiet.zero();
+            fixed.settings.takeover_delay =
+                fixed.settings.takeover_delay.zero();
         }
         results.push_back(
             {checks ? "orders, checked" : "orders, unchecked",
--- a/bench/claims_explorer/order_world.cpp
+++ b/bench/claims_explorer/order_world.cpp
@@ -110,7 +110,7 @@
     case step_kind::start:
         --m_budget.resends;
         tell(what.index,
-             fleet::order_wished{
+             fleet::order_requested{
                  {the_engine, "model-of-" + name_of(what.index)}, true});
         break;
     case step_kind::adopt:
@@ -238,7 +238,7 @@
     }
     // Connections that took longer than an order may are closed.
     std::erase_if(m_flights, [&](flight const& one) {
-        return m_now - one.left > m_fixed->settings.flight;
+        return m_now - one.left > m_fixed->settings.delivery_timeout;
     });
 }
 
--- a/bench/claims_explorer/scenario.cpp
+++ b/bench/claims_explorer/scenario.cpp
@@ -16,14 +16,14 @@
     settings.witnesses_per_data_centre = settings.witnesses;
     settings.quorum_delta = quorum_delta;
     settings.buckets = 1;
-    settings.horizon = seconds(40);
+    settings.retention = seconds(40);
     settings.view_lease = seconds(60);
     settings.grant_lease = seconds(10);
     settings.pause_limit = seconds(20);
     settings.claim_timeout = seconds(2);
     settings.resend_after = seconds(1'000);
     settings.transfer_lease = seconds(5);
-    settings.maturity = settings.least_maturity();
+    settings.maturity = settings.min_maturity();
     constexpr seconds s_forever(1'000'000);
     if (off == ablation::new_hosts_vote) {
         settings.maturity = seconds(0);
@@ -88,7 +88,7 @@
 {
     // Of the settings as they should be, also when the lease is switched off.
     auto const whole = short_settings(0, ablation::none);
-    return whole.horizon - whole.grant_lease;
+    return whole.retention - whole.grant_lease;
 }
 
 } // namespace caperjunction::claims_explorer
--- a/bench/fleet_bench/fault_scenarios.cpp
+++ b/bench/fleet_bench/fault_scenarios.cpp
@@ -186,8 +186,8 @@
             auto const& agent = *fleet->host(sleeper).agent;
             auto const state = agent.view()->find(dead)->state;
             bool const lost = state == fleet::host_state::lost;
-            acted += agent.fresh() && !lost ? step_seconds : 0.0;
-            waited += agent.fresh() ? 0.0 : step_seconds;
+            acted += agent.is_view_current() && !lost ? step_seconds : 0.0;
+            waited += agent.is_view_current() ? 0.0 : step_seconds;
             fleet->run_for(step);
         }
         for (observed_change const& seen : fleet->changes()) {
--- a/bench/fleet_bench/load_scenarios.cpp
+++ b/bench/fleet_bench/load_scenarios.cpp
@@ -43,7 +43,7 @@
               bench_options const& options)
 {
     virtual_fleet_settings settings;
-    settings.agent.configuration.use_splices = splices;
+    settings.agent.configuration.use_deltas = splices;
     settings.digest_bytes = options.digest_bytes;
     if (count_bytes) {
         settings.size_of = [](fleet::peer_message const& message) {
--- a/bench/fleet_bench/virtual_fleet.cpp
+++ b/bench/fleet_bench/virtual_fleet.cpp
@@ -207,7 +207,7 @@
     }
     if (!made.paused) {
         give(made,
-             fleet::digest_made{
+             fleet::digest_updated{
                  std::vector<std::uint8_t>(m_settings.digest_bytes, 1)});
     }
     at(m_now + m_settings.digest_period, [this, name, process] {
--- a/src/fleet/agent.cpp
+++ b/src/fleet/agent.cpp
@@ -38,17 +38,17 @@
     {
         // Configuration goes first, so that heartbeats tell the newest.
         values.handle(event, now, out);
-        members.announce(values.announce());
-        members.set_behind(values.behind_peers());
+        members.set_announcement(values.announcement());
+        members.set_behind_peers(values.behind_peers());
         auto const before = members.view();
         members.handle(event, now, out);
         if (members.view() != before) {
-            take_view(out);
+            apply_view(out);
         }
         digests.handle(event, now, out);
     }
 
-    void take_view(std::vector<agent_output>& out)
+    void apply_view(std::vector<agent_output>& out)
     {
         values.set_view(*members.view());
         values.set_neighbours(members.neighbours());
@@ -98,14 +98,14 @@
     return m_state->values.ready();
 }
 
-bool agent::fresh() const
+bool agent::is_view_current() const
 {
-    return m_state->members.fresh();
+    return m_state->members.is_view_current();
 }
 
 value_revisions agent::in_force() const
 {
-    return m_state->values.announce().in_force;
+    return m_state->values.announcement().in_force;
 }
 
 } // namespace caperjunction::fleet
--- a/src/fleet/agent.hpp
+++ b/src/fleet/agent.hpp
@@ -41,7 +41,7 @@
     bool ready() const;
 
     /// False between `view_outdated` and `view_refreshed`.
-    bool fresh() const;
+    bool is_view_current() const;
 
     /// The revisions that are in force here, for status pages.
     value_revisions in_force() const;
--- a/src/fleet/agent_event.hpp
+++ b/src/fleet/agent_event.hpp
@@ -54,7 +54,7 @@
 };
 
 /// The router's latest digest, to be sent to peers.
-struct digest_made
+struct digest_updated
 {
     std::vector<std::uint8_t> bytes;
 };
@@ -71,7 +71,7 @@
                                  stop_planned,
                                  value_read,
                                  read_ended,
-                                 digest_made,
+                                 digest_updated,
                                  agent_tick>;
 
 } // namespace caperjunction::fleet
--- a/src/fleet/claim_answers.cpp
+++ b/src/fleet/claim_answers.cpp
@@ -14,9 +14,10 @@
 
 } // namespace
 
-claim_answers::claim_answers(std::size_t max_bytes, model::milliseconds horizon)
+claim_answers::claim_answers(std::size_t max_bytes,
+                             model::milliseconds retention)
     : m_max_bytes(max_bytes)
-    , m_horizon(horizon)
+    , m_retention(retention)
 {
 }
 
@@ -49,7 +50,7 @@
 
 void claim_answers::expire(model::time_point now)
 {
-    while (!m_order.empty() && now - m_order.front().first >= m_horizon) {
+    while (!m_order.empty() && now - m_order.front().first >= m_retention) {
         drop_oldest();
     }
 }
--- a/src/fleet/claim_answers.hpp
+++ b/src/fleet/claim_answers.hpp
@@ -31,7 +31,7 @@
 {
 public:
     /// \pre max_bytes bounds bodies and their overhead together.
-    claim_answers(std::size_t max_bytes, model::milliseconds horizon);
+    claim_answers(std::size_t max_bytes, model::milliseconds retention);
 
     /// Keeps `answer` unless it is larger than all room there is.
     void put(claim_key key,
@@ -61,7 +61,7 @@
     void drop_oldest();
 
     std::size_t m_max_bytes;
-    model::milliseconds m_horizon;
+    model::milliseconds m_retention;
     std::size_t m_bytes = 0;
     std::map<claim_key, stored> m_answers;
     std::deque<std::pair<model::time_point, claim_key>> m_order;
--- a/src/fleet/claim_call.hpp
+++ b/src/fleet/claim_call.hpp
@@ -15,7 +15,7 @@
 enum class claim_phase : std::uint8_t
 {
     /// Votes are being asked for.
-    asking,
+    requesting,
     /// A quorum is there; not dispatched yet.
     granted,
     dispatched,
@@ -24,12 +24,12 @@
 /// What an entry host remembers of one non-repeatable call.
 struct claim_call
 {
-    claim_phase phase = claim_phase::asking;
+    claim_phase phase = claim_phase::requesting;
     std::uint64_t number = 0;
     std::uint64_t ticket = 0;
     std::uint64_t fingerprint = 0;
     model::time_point started{};
-    model::time_point asked{};
+    model::time_point last_request{};
     /// Chosen once per attempt; a vote from elsewhere doesn't count.
     std::vector<std::string> witnesses;
     std::map<std::string, claim_reply> replies;
--- a/src/fleet/claim_settings.hpp
+++ b/src/fleet/claim_settings.hpp
@@ -21,7 +21,7 @@
     std::size_t buckets = 1024;
 
     /// How long a claim is remembered, from its grant.
-    model::milliseconds horizon{600'000};
+    model::milliseconds retention{600'000};
     /// How long a witness votes by a list of hosts that nobody confirms.
     /// Above the longest outage of the service to be ridden out.
     model::milliseconds view_lease{3'900'000};
@@ -53,9 +53,9 @@
     /// the set (view_lease), what they did by older lists is over too (once
     /// more, for lists that changed meanwhile), and claims from before have
     /// lapsed.
-    model::milliseconds least_maturity() const
+    model::milliseconds min_maturity() const
     {
-        return 2 * (view_lease + transfer_lease) + horizon;
+        return 2 * (view_lease + transfer_lease) + retention;
     }
 };
 
--- a/src/fleet/witness_memory.cpp
+++ b/src/fleet/claim_table.cpp
@@ -1,4 +1,4 @@
-#include "fleet/witness_memory.hpp"
+#include "fleet/claim_table.hpp"
 
 #include "fleet/claim_fingerprint.hpp"
 
@@ -6,13 +6,13 @@
 
 namespace caperjunction::fleet {
 
-witness_memory::claim const* witness_memory::find(claim_key key) const
+claim_table::claim const* claim_table::find(claim_key key) const
 {
     auto const found = m_claims.find(key);
     return found == m_claims.end() ? nullptr : &found->second;
 }
 
-void witness_memory::put(claim_key key, claim const& value)
+void claim_table::put(claim_key key, claim const& value)
 {
     auto& stored = m_claims[key];
     m_deadlines.erase({stored.until, key});
@@ -20,7 +20,7 @@
     m_deadlines.emplace(stored.until, key);
 }
 
-void witness_memory::finish(claim_key key, claim_attempt const& attempt)
+void claim_table::finish(claim_key key, claim_attempt const& attempt)
 {
     auto const found = m_claims.find(key);
     if (found != m_claims.end() && found->second.attempt == attempt) {
@@ -28,7 +28,7 @@
     }
 }
 
-void witness_memory::erase(claim_key key, claim_attempt const& attempt)
+void claim_table::erase(claim_key key, claim_attempt const& attempt)
 {
     auto const found = m_claims.find(key);
     if (found == m_claims.end() || found->second.attempt != attempt
@@ -39,7 +39,7 @@
     m_claims.erase(found);
 }
 
-void witness_memory::expire(model::time_point now)
+void claim_table::expire(model::time_point now)
 {
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
         m_claims.erase(m_deadlines.begin()->second);
@@ -48,8 +48,8 @@
 }
 
 std::map<std::size_t, std::vector<claim_record>>
-witness_memory::collect(std::vector<bool> const& wanted,
-                        model::time_point now) const
+claim_table::collect(std::vector<bool> const& wanted,
+                     model::time_point now) const
 {
     using std::chrono::ceil;
     std::map<std::size_t, std::vector<claim_record>> result;
@@ -66,7 +66,7 @@
     return result;
 }
 
-void witness_memory::fingerprint(model::time_point now, std::string& out) const
+void claim_table::fingerprint(model::time_point now, std::string& out) const
 {
     for (auto const& [key, value] : m_claims) {
         append(out, key.low);
--- a/src/fleet/witness_memory.hpp
+++ b/src/fleet/claim_table.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_FLEET_WITNESS_MEMORY_HPP
-#define CAPERJUNCTION_FLEET_WITNESS_MEMORY_HPP
+#ifndef CAPERJUNCTION_FLEET_CLAIM_TABLE_HPP
+#define CAPERJUNCTION_FLEET_CLAIM_TABLE_HPP
 
 #include "fleet/claim_message.hpp"
 #include "model/time.hpp"
@@ -16,7 +16,7 @@
 /// The claims that a witness remembers, each until its time is over.
 ///
 /// Thread safety: none; owned by one witness.
-class witness_memory
+class claim_table
 {
 public:
     struct claim
--- a/src/fleet/claim_tally.cpp
+++ b/src/fleet/claim_tally.cpp
@@ -15,7 +15,7 @@
     for (auto const& name : call.witnesses) {
         auto const found = call.replies.find(name);
         if (found == call.replies.end()) {
-            ++tally.open;
+            ++tally.pending;
             continue;
         }
         claim_reply const& reply = found->second;
--- a/src/fleet/claim_tally.hpp
+++ b/src/fleet/claim_tally.hpp
@@ -14,7 +14,7 @@
     /// Different votes that were given to it.
     std::uint32_t votes = 0;
     /// Witnesses that may still give one.
-    std::uint32_t open = 0;
+    std::uint32_t pending = 0;
     /// Votes that let it proceed: a majority of all that may be about.
     std::uint32_t quorum = 1;
 };
--- a/src/fleet/claimant.cpp
+++ b/src/fleet/claimant.cpp
@@ -10,7 +10,7 @@
     : m_host(std::move(host))
     , m_generation(generation)
     , m_settings(settings)
-    , m_guard(settings.pause_limit)
+    , m_pause_detector(settings.pause_limit)
 {
 }
 
@@ -20,8 +20,8 @@
 {
     // After a pause no claim starts and no "not run" is said by what was
     // known before it: others may have run the call meanwhile.
-    if (m_guard.note_wake(now)) {
-        m_woke = now;
+    if (m_pause_detector.record_wakeup(now)) {
+        m_last_pause_end = now;
     }
     std::visit(
         [&](auto const& what) {
@@ -43,8 +43,8 @@
                         model::time_point /*now*/,
                         decisions& /*out*/)
 {
-    if (event.as_of >= m_woke) {
-        m_guard.refreshed();
+    if (event.as_of >= m_last_pause_end) {
+        m_pause_detector.refreshed();
     }
 }
 
@@ -55,7 +55,7 @@
     if (answer_resend(event, out)) {
         return;
     }
-    if (m_view == nullptr || !m_guard.may_act()) {
+    if (m_view == nullptr || !m_pause_detector.is_current()) {
         out.push_back(claim_unknown{
             event.ticket, retry_no_quorum, "the list of hosts is outdated"});
         return;
@@ -67,8 +67,8 @@
     call.started = now;
     auto const bucket = claim_bucket(event.key, m_settings.buckets);
     call.witnesses = m_view->witnesses(bucket);
-    ask(event.key, call, now, out);
-    weigh(event.key, out);
+    send_requests(event.key, call, now, out);
+    evaluate_votes(event.key, out);
 }
 
 bool claimant::answer_resend(claim_started const& event, decisions& out) const
@@ -100,7 +100,8 @@
                         decisions& out)
 {
     auto const found = m_calls.find(event.key);
-    if (found == m_calls.end() || found->second.phase == claim_phase::asking) {
+    if (found == m_calls.end()
+        || found->second.phase == claim_phase::requesting) {
         return;
     }
     if (event.outcome == model::outcome::not_run) {
@@ -112,7 +113,7 @@
         out.push_back(claim_send{name, done});
     }
     m_finished[event.key] = {found->second.number, found->second.fingerprint};
-    m_finished_until.emplace_back(now + m_settings.horizon, event.key);
+    m_finished_until.emplace_back(now + m_settings.retention, event.key);
     m_calls.erase(found);
 }
 
@@ -134,18 +135,19 @@
     std::vector<claim_key> silent;
     std::vector<claim_key> aged;
     for (auto& [key, call] : m_calls) {
-        bool const asking = call.phase == claim_phase::asking;
+        bool const asking = call.phase == claim_phase::requesting;
         if (asking && now - call.started > m_settings.claim_timeout) {
             silent.push_back(key);
-        } else if (asking && now - call.asked >= m_settings.resend_after) {
-            ask(key, call, now, out);
+        } else if (asking
+                   && now - call.last_request >= m_settings.resend_after) {
+            send_requests(key, call, now, out);
         } else if (call.phase == claim_phase::granted
                    && now - call.started > m_settings.grant_lease) {
             aged.push_back(key);
         }
     }
     for (auto const& key : silent) {
-        give_up(key, out);
+        abandon(key, out);
     }
     for (auto const& key : aged) {
         end_undispatched(key, now, "it waited longer than its claim", out);
@@ -162,12 +164,12 @@
     // forgot the claim, and another host ran the call. The caller is charged
     // twice, and both hosts' logs show a dispatch. The lease ends long before
     // the witnesses' memory does, and it is counted from before they knew.
-    bool const slept = m_guard.note_wake(now);
-    m_woke = slept ? now : m_woke;
+    bool const slept = m_pause_detector.record_wakeup(now);
+    m_last_pause_end = slept ? now : m_last_pause_end;
     auto const found = m_calls.find(key);
     if (found == m_calls.end() || found->second.phase != claim_phase::granted
         || now - found->second.started > m_settings.grant_lease
-        || !m_guard.may_act()) {
+        || !m_pause_detector.is_current()) {
         return false;
     }
     found->second.phase = claim_phase::dispatched;
--- a/src/fleet/claimant.hpp
+++ b/src/fleet/claimant.hpp
@@ -6,7 +6,7 @@
 #include "fleet/claim_event.hpp"
 #include "fleet/claim_settings.hpp"
 #include "fleet/claim_view.hpp"
-#include "fleet/wake_guard.hpp"
+#include "fleet/pause_detector.hpp"
 #include "model/time.hpp"
 
 #include <cstddef>
@@ -89,32 +89,32 @@
 
     void
     on_reply(std::string const& from, claim_reply const& reply, decisions& out);
-    void on_stray_grant(std::string const& from,
-                        claim_reply const& reply,
-                        decisions& out) const;
+    void on_late_grant(std::string const& from,
+                       claim_reply const& reply,
+                       decisions& out) const;
     void on_query(claim_query const& query, decisions& out) const;
     bool answer_resend(claim_started const& event, decisions& out) const;
-    void ask(claim_key key,
-             claim_call& call,
-             model::time_point now,
-             decisions& out) const;
-    void weigh(claim_key key, decisions& out);
-    void give_up(claim_key key, decisions& out);
+    void send_requests(claim_key key,
+                       claim_call& call,
+                       model::time_point now,
+                       decisions& out) const;
+    void evaluate_votes(claim_key key, decisions& out);
+    void abandon(claim_key key, decisions& out);
     void end_undispatched(claim_key key,
                           model::time_point now,
                           std::string reason,
                           decisions& out);
-    void settle(claim_key key,
-                claim_attempt const& attempt,
-                std::vector<std::string> const& witnesses,
-                decisions& out) const;
+    void notify_witnesses(claim_key key,
+                          claim_attempt const& attempt,
+                          std::vector<std::string> const& witnesses,
+                          decisions& out) const;
     claim_attempt attempt_of(claim_call const& call) const;
 
     std::string m_host;
     std::uint64_t m_generation;
     claim_settings m_settings;
-    wake_guard m_guard;
-    model::time_point m_woke{};
+    pause_detector m_pause_detector;
+    model::time_point m_last_pause_end{};
     std::shared_ptr<claim_view const> m_view;
     std::uint64_t m_attempts = 0;
     std::map<claim_key, claim_call> m_calls;
--- a/src/fleet/claimant_calls.cpp
+++ b/src/fleet/claimant_calls.cpp
@@ -12,24 +12,24 @@
 {
     auto const found = m_calls.find(reply.key);
     if (found == m_calls.end() || attempt_of(found->second) != reply.attempt) {
-        on_stray_grant(from, reply, out);
+        on_late_grant(from, reply, out);
         return;
     }
     claim_call& call = found->second;
-    if (call.phase == claim_phase::asking) {
+    if (call.phase == claim_phase::requesting) {
         call.replies[from] = reply;
-        weigh(reply.key, out);
+        evaluate_votes(reply.key, out);
     }
 }
 
 // A request that was late on its way was granted after its attempt was over;
 // left alone, the key would be blocked for a whole horizon.
-void claimant::on_stray_grant(std::string const& from,
-                              claim_reply const& reply,
-                              decisions& out) const
+void claimant::on_late_grant(std::string const& from,
+                             claim_reply const& reply,
+                             decisions& out) const
 {
     if (reply.status == claim_status::granted) {
-        settle(reply.key, reply.attempt, {from}, out);
+        notify_witnesses(reply.key, reply.attempt, {from}, out);
     }
 }
 
@@ -40,7 +40,8 @@
         call != m_calls.end() && attempt_of(call->second) == query.attempt;
     if (!active && m_view != nullptr) {
         auto const bucket = claim_bucket(query.key, m_settings.buckets);
-        settle(query.key, query.attempt, m_view->witnesses(bucket), out);
+        notify_witnesses(
+            query.key, query.attempt, m_view->witnesses(bucket), out);
     }
 }
 
@@ -48,10 +49,10 @@
 // earlier process of this host nothing is known: its calls may have run.
 //
 // \pre the attempt is not active.
-void claimant::settle(claim_key key,
-                      claim_attempt const& attempt,
-                      std::vector<std::string> const& witnesses,
-                      decisions& out) const
+void claimant::notify_witnesses(claim_key key,
+                                claim_attempt const& attempt,
+                                std::vector<std::string> const& witnesses,
+                                decisions& out) const
 {
     if (attempt.host != m_host || attempt.generation != m_generation) {
         return;
@@ -67,12 +68,12 @@
     }
 }
 
-void claimant::ask(claim_key key,
-                   claim_call& call,
-                   model::time_point now,
-                   decisions& out) const
+void claimant::send_requests(claim_key key,
+                             claim_call& call,
+                             model::time_point now,
+                             decisions& out) const
 {
-    call.asked = now;
+    call.last_request = now;
     claim_request request;
     request.key = key;
     request.attempt = attempt_of(call);
@@ -88,7 +89,7 @@
     }
 }
 
-void claimant::weigh(claim_key key, decisions& out)
+void claimant::evaluate_votes(claim_key key, decisions& out)
 {
     claim_call& call = m_calls.at(key);
     claim_tally const tally = count_votes(call, m_settings);
@@ -96,18 +97,18 @@
         call.phase = claim_phase::granted;
         out.push_back(
             claim_proceed{call.ticket, call.started + m_settings.grant_lease});
-    } else if (tally.votes + tally.open < tally.quorum) {
-        give_up(key, out);
+    } else if (tally.votes + tally.pending < tally.quorum) {
+        abandon(key, out);
     }
 }
 
 // Without a quorum nothing is known of other hosts' attempts: the call may
 // have run where this host can't see it. So the answer is never `not-run`.
-void claimant::give_up(claim_key key, decisions& out)
+void claimant::abandon(claim_key key, decisions& out)
 {
     claim_call const call = std::move(m_calls.at(key));
     m_calls.erase(key);
-    settle(key, attempt_of(call), call.witnesses, out);
+    notify_witnesses(key, attempt_of(call), call.witnesses, out);
     claim_reply const* holder = find_holder(call);
     if (holder == nullptr) {
         out.push_back(claim_unknown{
@@ -135,8 +136,8 @@
     claim_call const call = std::move(m_calls.at(key));
     m_calls.erase(key);
     bool const certain =
-        m_guard.may_act()
-        && now - call.started < m_settings.horizon - m_settings.grant_lease;
+        m_pause_detector.is_current()
+        && now - call.started < m_settings.retention - m_settings.grant_lease;
     if (certain) {
         out.push_back(
             claim_not_run{call.ticket, retry_no_quorum, std::move(reason)});
@@ -144,7 +145,7 @@
         out.push_back(
             claim_unknown{call.ticket, retry_no_quorum, std::move(reason)});
     }
-    settle(key, attempt_of(call), call.witnesses, out);
+    notify_witnesses(key, attempt_of(call), call.witnesses, out);
 }
 
 claim_attempt claimant::attempt_of(claim_call const& call) const
--- a/src/fleet/claimant_fingerprint.cpp
+++ b/src/fleet/claimant_fingerprint.cpp
@@ -8,7 +8,7 @@
     append(out, m_generation);
     append(out, m_attempts);
     append(out, m_view == nullptr ? 0 : m_view->revision());
-    append(out, m_guard.may_act() ? 1U : 0U);
+    append(out, m_pause_detector.is_current() ? 1U : 0U);
     for (auto const& [key, call] : m_calls) {
         append(out, key.low);
         append(out, static_cast<std::uint64_t>(call.phase));
--- a/src/fleet/config_message.hpp
+++ b/src/fleet/config_message.hpp
@@ -1,8 +1,8 @@
 #ifndef CAPERJUNCTION_FLEET_CONFIG_MESSAGE_HPP
 #define CAPERJUNCTION_FLEET_CONFIG_MESSAGE_HPP
 
+#include "fleet/delta.hpp"
 #include "fleet/published_value.hpp"
-#include "fleet/splice.hpp"
 #include "fleet/value_revisions.hpp"
 
 #include <cstdint>
@@ -47,7 +47,7 @@
     /// 0 if `body` is the whole body.
     std::uint64_t base = 0;
     std::shared_ptr<std::string const> body;
-    std::vector<splice> splices;
+    std::vector<delta> deltas;
 };
 
 } // namespace caperjunction::fleet
--- a/src/fleet/configuration.cpp
+++ b/src/fleet/configuration.cpp
@@ -35,16 +35,16 @@
     m_out = &out;
     if (!m_started) {
         m_started = true;
-        m_last_word = now;
-        m_start_deadline = now + m_settings.start_wait;
+        m_last_announce = now;
+        m_start_deadline = now + m_settings.startup_timeout;
         m_next_direct_read = now;
     }
     std::visit(
         [this](auto const& told) {
-            take(told);
+            on_event(told);
         },
         event);
-    spread_announce();
+    broadcast_announce();
     m_out = nullptr;
 }
 
@@ -65,7 +65,7 @@
     });
 }
 
-config_announce configuration::announce() const
+config_announce configuration::announcement() const
 {
     config_announce own;
     for (std::size_t place = 0; place < published_value_count; ++place) {
@@ -75,33 +75,33 @@
     return own;
 }
 
-void configuration::take(hosts_listed const& event)
+void configuration::on_event(hosts_listed const& event)
 {
     m_listed_revision = std::max(m_listed_revision, event.hosts.revision);
 }
 
-void configuration::take(message_received const& event)
+void configuration::on_event(message_received const& event)
 {
     std::string const& from = event.from;
     if (auto const* beat = std::get_if<heartbeat>(&event.message)) {
-        take_announce(from, beat->configuration);
+        handle_announce(from, beat->configuration);
     } else if (auto const* reply = std::get_if<probe_reply>(&event.message)) {
-        take_announce(from, reply->configuration);
+        handle_announce(from, reply->configuration);
     } else if (auto const* told =
                    std::get_if<config_announce>(&event.message)) {
-        take_announce(from, *told);
+        handle_announce(from, *told);
     } else if (auto const* asked = std::get_if<config_fetch>(&event.message)) {
-        take_fetch(from, *asked);
+        handle_fetch(from, *asked);
     } else if (auto const* sent = std::get_if<config_value>(&event.message)) {
-        take_value(from, *sent);
+        handle_value(from, *sent);
     }
 }
 
-void configuration::take(value_read const& event)
+void configuration::on_event(value_read const& event)
 {
     value_slot& kept = slot(event.value);
     kept.watching = false;
-    kept.asked_service = true;
+    kept.service_polled = true;
     if (event.body == nullptr || event.revision <= kept.latest.revision) {
         // The service is stale: it would answer the next watch at once too.
         kept.next_watch = m_now + jittered(m_settings.watch_retry);
@@ -110,44 +110,44 @@
     kept.next_watch = m_now;
     checked_value read{event.revision, event.body};
     if (kept.latest.body != nullptr) {
-        kept.splices.append(
+        kept.deltas.append(
             kept.latest.revision,
-            {make_splice(*kept.latest.body, *read.body, read.revision)},
-            m_settings.splice_memory);
+            {make_delta(*kept.latest.body, *read.body, read.revision)},
+            m_settings.delta_memory);
     } else {
-        kept.splices.append(read.revision, {}, m_settings.splice_memory);
+        kept.deltas.append(read.revision, {}, m_settings.delta_memory);
     }
-    offer(event.value, std::move(read));
+    store_candidate(event.value, std::move(read));
 }
 
-void configuration::take(read_ended const& event)
+void configuration::on_event(read_ended const& event)
 {
     value_slot& kept = slot(event.value);
     kept.watching = false;
-    kept.asked_service = true;
+    kept.service_polled = true;
     kept.next_watch =
         event.failed ? m_now + jittered(m_settings.watch_retry) : m_now;
 }
 
-void configuration::take(agent_tick const&)
+void configuration::on_event(agent_tick const&)
 {
-    ask_service();
+    poll_service();
     expire_fetches();
     fetch_missing();
-    tell_faults();
+    report_faults();
     check_ready();
 }
 
-void configuration::take_announce(std::string const& from,
-                                  config_announce const& announced)
+void configuration::handle_announce(std::string const& from,
+                                    config_announce const& announced)
 {
-    m_last_word = m_now;
+    m_last_announce = m_now;
     m_announced[from] = announced;
     fetch_missing();
 }
 
-void configuration::take_fetch(std::string const& from,
-                               config_fetch const& fetch)
+void configuration::handle_fetch(std::string const& from,
+                                 config_fetch const& fetch)
 {
     value_slot const& kept = slot(fetch.value);
     bool const last_good = fetch.wanted == kept.in_force.revision;
@@ -159,21 +159,20 @@
     answer.value = fetch.value;
     answer.revision = sent.revision;
     answer.hash = hash_text(*sent.body);
-    auto splices =
-        m_settings.use_splices && sent.revision == kept.latest.revision
-            ? kept.splices.since(fetch.held, sent.body->size())
-            : std::nullopt;
-    if (splices) {
+    auto deltas = m_settings.use_deltas && sent.revision == kept.latest.revision
+                      ? kept.deltas.since(fetch.held, sent.body->size())
+                      : std::nullopt;
+    if (deltas) {
         answer.base = fetch.held;
-        answer.splices = std::move(*splices);
+        answer.deltas = std::move(*deltas);
     } else {
         answer.body = sent.body;
     }
     m_out->push_back(send_message{from, std::move(answer)});
 }
 
-void configuration::take_value(std::string const& from,
-                               config_value const& message)
+void configuration::handle_value(std::string const& from,
+                                 config_value const& message)
 {
     value_slot& kept = slot(message.value);
     if (kept.fetching_from == from) {
@@ -184,9 +183,9 @@
         && message.revision != kept.latest.revision
         && rebuild(message.value, message, rebuilt)) {
         if (rebuilt.revision > kept.latest.revision) {
-            remember_splices(kept, message);
+            record_deltas(kept, message);
         }
-        offer(message.value, std::move(rebuilt));
+        store_candidate(message.value, std::move(rebuilt));
     }
     fetch_missing(message.value);
 }
@@ -205,8 +204,8 @@
             return false;
         }
         auto body = std::make_shared<std::string>(*kept.latest.body);
-        if (!apply_splices(message.splices, *body)) {
-            kept.fetch_whole = true;
+        if (!apply_deltas(message.deltas, *body)) {
+            kept.fetch_complete = true;
             return false;
         }
         rebuilt.body = std::move(body);
@@ -214,30 +213,29 @@
     bool const whole = rebuilt.body != nullptr
                        && rebuilt.body->size() <= model::limits::max_list_bytes
                        && hash_text(*rebuilt.body) == message.hash;
-    kept.fetch_whole = !whole;
+    kept.fetch_complete = !whole;
     return whole;
 }
 
 // Splices are kept as they came, one for each revision, so that a peer that
 // holds any of these revisions can be served by splices too.
-void configuration::remember_splices(value_slot& kept,
-                                     config_value const& message)
+void configuration::record_deltas(value_slot& kept, config_value const& message)
 {
     if (message.base != 0) {
-        kept.splices.append(
-            message.base, message.splices, m_settings.splice_memory);
+        kept.deltas.append(
+            message.base, message.deltas, m_settings.delta_memory);
     } else if (kept.latest.body != nullptr) {
         auto change =
-            make_splice(*kept.latest.body, *message.body, message.revision);
-        kept.splices.append(kept.latest.revision,
-                            {std::move(change)},
-                            m_settings.splice_memory);
+            make_delta(*kept.latest.body, *message.body, message.revision);
+        kept.deltas.append(
+            kept.latest.revision, {std::move(change)}, m_settings.delta_memory);
     } else {
-        kept.splices.append(message.revision, {}, m_settings.splice_memory);
+        kept.deltas.append(message.revision, {}, m_settings.delta_memory);
     }
 }
 
-void configuration::offer(published_value value, checked_value offered)
+void configuration::store_candidate(published_value value,
+                                    checked_value offered)
 {
     value_slot& kept = slot(value);
     if (offered.revision > kept.latest.revision) {
--- a/src/fleet/configuration.hpp
+++ b/src/fleet/configuration.hpp
@@ -48,7 +48,7 @@
     /// announced that are gone.
     void set_view(host_view const& view);
 
-    config_announce announce() const;
+    config_announce announcement() const;
 
     bool ready() const
     {
@@ -67,38 +67,38 @@
     using outputs = std::vector<agent_output>;
 
     // configuration.cpp: what is told.
-    void take(message_received const& event);
-    void take(hosts_listed const& event);
-    void take(value_read const& event);
-    void take(read_ended const& event);
-    void take(agent_tick const& event);
+    void on_event(message_received const& event);
+    void on_event(hosts_listed const& event);
+    void on_event(value_read const& event);
+    void on_event(read_ended const& event);
+    void on_event(agent_tick const& event);
 
     template <typename Other>
-    void take(Other const&)
+    void on_event(Other const&)
     {
     }
 
-    void take_announce(std::string const& from,
-                       config_announce const& announced);
-    void take_fetch(std::string const& from, config_fetch const& fetch);
-    void take_value(std::string const& from, config_value const& message);
-    void offer(published_value value, checked_value offered);
+    void handle_announce(std::string const& from,
+                         config_announce const& announced);
+    void handle_fetch(std::string const& from, config_fetch const& fetch);
+    void handle_value(std::string const& from, config_value const& message);
+    void store_candidate(published_value value, checked_value offered);
     bool rebuild(published_value value,
                  config_value const& message,
                  checked_value& rebuilt);
-    void remember_splices(value_slot& kept, config_value const& message);
+    void record_deltas(value_slot& kept, config_value const& message);
 
     // configuration_read.cpp: asking the service and peers.
     void watch(published_value value, model::milliseconds wait);
     void watch_all(model::milliseconds wait);
-    void plan_direct_read();
+    void schedule_direct_read();
     bool peers_are_silent() const;
-    void ask_service();
+    void poll_service();
     model::milliseconds jittered(model::milliseconds mean);
     void fetch_missing();
     void fetch_missing(published_value value);
     void expire_fetches();
-    bool heard_enough() const;
+    bool has_caught_up() const;
     void check_ready();
 
     // configuration_check.cpp: putting in force.
@@ -108,9 +108,9 @@
                    checked_value const& entitlements,
                    std::vector<lists::fault>& faults);
     void apply_single(published_value value);
-    void note_faults(published_value value, std::vector<lists::fault> faults);
-    void tell_faults();
-    void spread_announce();
+    void record_faults(published_value value, std::vector<lists::fault> faults);
+    void report_faults();
+    void broadcast_announce();
 
     value_slot& slot(published_value value)
     {
@@ -127,13 +127,13 @@
     std::array<value_slot, published_value_count> m_slots;
     std::vector<std::string> m_neighbours;
     std::map<std::string, config_announce> m_announced;
-    config_announce m_spread;
+    config_announce m_last_broadcast;
     bool m_watcher = false;
     bool m_ready = false;
     std::uint64_t m_listed_revision = 0;
     bool m_started = false;
     model::time_point m_start_deadline{};
-    model::time_point m_last_word{};
+    model::time_point m_last_announce{};
     model::time_point m_next_direct_read{};
 
     // Of the call that is running.
--- a/src/fleet/configuration_check.cpp
+++ b/src/fleet/configuration_check.cpp
@@ -49,14 +49,14 @@
                 continue;
             }
             if (try_lists(*left[place], *right[sum - place], faults)) {
-                note_faults(published_value::plans, faults);
-                note_faults(published_value::entitlements, std::move(faults));
+                record_faults(published_value::plans, faults);
+                record_faults(published_value::entitlements, std::move(faults));
                 return;
             }
         }
     }
-    note_faults(published_value::plans, faults);
-    note_faults(published_value::entitlements, std::move(faults));
+    record_faults(published_value::plans, faults);
+    record_faults(published_value::entitlements, std::move(faults));
 }
 
 bool configuration::try_lists(checked_value const& plans,
@@ -106,11 +106,11 @@
         }
         faults = faults.empty() ? std::move(found) : std::move(faults);
     }
-    note_faults(value, std::move(faults));
+    record_faults(value, std::move(faults));
 }
 
-void configuration::note_faults(published_value value,
-                                std::vector<lists::fault> faults)
+void configuration::record_faults(published_value value,
+                                  std::vector<lists::fault> faults)
 {
     value_slot& kept = slot(value);
     if (kept.latest.revision == kept.in_force.revision) {
@@ -125,29 +125,30 @@
     kept.faults = std::move(faults);
 }
 
-void configuration::tell_faults()
+void configuration::report_faults()
 {
     for (std::size_t place = 0; place < m_slots.size(); ++place) {
         value_slot& kept = m_slots[place];
-        bool const lasted = m_now - kept.faulty_since >= m_settings.fault_delay;
+        bool const lasted =
+            m_now - kept.faulty_since >= m_settings.fault_report_delay;
         if (kept.faults.empty() || !lasted
-            || kept.told_revision == kept.faulty_revision) {
+            || kept.reported_revision == kept.faulty_revision) {
             continue;
         }
-        kept.told_revision = kept.faulty_revision;
+        kept.reported_revision = kept.faulty_revision;
         m_out->push_back(value_refused{static_cast<published_value>(place),
                                        kept.faulty_revision,
                                        kept.faults});
     }
 }
 
-void configuration::spread_announce()
+void configuration::broadcast_announce()
 {
-    config_announce const own = announce();
-    if (own == m_spread) {
+    config_announce const own = announcement();
+    if (own == m_last_broadcast) {
         return;
     }
-    m_spread = own;
+    m_last_broadcast = own;
     for (std::string const& name : m_neighbours) {
         m_out->push_back(send_message{name, own});
     }
--- a/src/fleet/configuration_read.cpp
+++ b/src/fleet/configuration_read.cpp
@@ -21,7 +21,7 @@
 
 bool configuration::peers_are_silent() const
 {
-    return m_now - m_last_word >= m_settings.peer_silence;
+    return m_now - m_last_announce >= m_settings.peer_silence_limit;
 }
 
 void configuration::watch(published_value value, model::milliseconds wait)
@@ -39,13 +39,13 @@
 // Watchers hear of a change at once. All others ask at a mean period that
 // keeps the whole fleet well below the service's rate: often while no peer
 // speaks, seldom otherwise, for the case that no watcher reaches the service.
-void configuration::ask_service()
+void configuration::poll_service()
 {
     if (m_watcher && m_ready) {
         watch_all(m_settings.watch_wait);
         return;
     }
-    plan_direct_read();
+    schedule_direct_read();
     if (m_now < m_next_direct_read) {
         return;
     }
@@ -56,7 +56,7 @@
     watch_all(no_wait);
 }
 
-void configuration::plan_direct_read()
+void configuration::schedule_direct_read()
 {
     auto const latest = m_now + 2 * m_settings.direct_read_period;
     if (peers_are_silent() && m_next_direct_read > latest) {
@@ -74,7 +74,7 @@
     }
     config_fetch fetch;
     fetch.value = value;
-    fetch.held = kept.fetch_whole ? 0 : kept.latest.revision;
+    fetch.held = kept.fetch_complete ? 0 : kept.latest.revision;
     std::uint64_t best = kept.latest.revision;
     std::string const* from = nullptr;
     for (auto const& [name, announced] : m_announced) {
@@ -99,7 +99,7 @@
         return;
     }
     fetch.wanted = best;
-    kept.fetching = best;
+    kept.fetching_revision = best;
     kept.fetching_from = *from;
     kept.fetch_deadline = m_now + m_settings.fetch_timeout;
     m_out->push_back(send_message{*from, fetch});
@@ -131,11 +131,11 @@
     return false;
 }
 
-bool configuration::heard_enough() const
+bool configuration::has_caught_up() const
 {
     bool const asked =
         std::all_of(m_slots.begin(), m_slots.end(), [](value_slot const& kept) {
-            return kept.asked_service;
+            return kept.service_polled;
         });
     bool const listed =
         m_listed_revision >= slot_of(published_value::hosts).in_force.revision;
@@ -155,7 +155,7 @@
             return;
         }
     }
-    if (heard_enough() || m_now >= m_start_deadline) {
+    if (has_caught_up() || m_now >= m_start_deadline) {
         m_ready = true;
         m_out->push_back(configuration_ready{});
     }
--- a/src/fleet/configuration_settings.hpp
+++ b/src/fleet/configuration_settings.hpp
@@ -44,7 +44,7 @@
     /// A peer that doesn't answer a fetch for this long is passed over.
     model::milliseconds fetch_timeout{1'000};
     /// Without a word from any peer for this long, ask the service directly.
-    model::milliseconds peer_silence{3'000};
+    model::milliseconds peer_silence_limit{3'000};
     /// Mean time between direct reads of one host while peers are silent:
     /// 400 hosts with four values read 400 times a second, a fifth of what
     /// the service serves to all.
@@ -55,14 +55,14 @@
     model::milliseconds audit_period{8'000};
     /// A starting host waits this long for the service and its peers before
     /// it acts by the highest revisions that it has seen.
-    model::milliseconds start_wait{5'000};
+    model::milliseconds startup_timeout{5'000};
     /// A pair of lists that doesn't check is told of after this time: the
     /// second list of a good pair arrives a little after the first.
-    model::milliseconds fault_delay{5'000};
+    model::milliseconds fault_report_delay{5'000};
     /// Most bytes of splices kept for each value.
-    std::size_t splice_memory = std::size_t{256} * 1024;
+    std::size_t delta_memory = std::size_t{256} * 1024;
     /// Off only to measure what splices are worth.
-    bool use_splices = true;
+    bool use_deltas = true;
 };
 
 } // namespace caperjunction::fleet
--- a/src/fleet/splice.cpp
+++ b/src/fleet/delta.cpp
@@ -1,12 +1,12 @@
-#include "fleet/splice.hpp"
+#include "fleet/delta.hpp"
 
 #include <algorithm>
 
 namespace caperjunction::fleet {
 
-splice make_splice(std::string const& before,
-                   std::string const& after,
-                   std::uint64_t revision)
+delta make_delta(std::string const& before,
+                 std::string const& after,
+                 std::uint64_t revision)
 {
     std::size_t const shorter = std::min(before.size(), after.size());
     std::size_t prefix = 0;
@@ -19,7 +19,7 @@
                   == after[after.size() - 1 - suffix]) {
         ++suffix;
     }
-    splice change;
+    delta change;
     change.revision = revision;
     change.offset = static_cast<std::uint32_t>(prefix);
     change.removed =
@@ -28,9 +28,9 @@
     return change;
 }
 
-bool apply_splices(std::vector<splice> const& splices, std::string& body)
+bool apply_deltas(std::vector<delta> const& deltas, std::string& body)
 {
-    for (splice const& change : splices) {
+    for (delta const& change : deltas) {
         if (change.offset > body.size()
             || change.removed > body.size() - change.offset) {
             return false;
--- a/src/fleet/splice.hpp
+++ b/src/fleet/delta.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_FLEET_SPLICE_HPP
-#define CAPERJUNCTION_FLEET_SPLICE_HPP
+#ifndef CAPERJUNCTION_FLEET_DELTA_HPP
+#define CAPERJUNCTION_FLEET_DELTA_HPP
 
 #include <cstdint>
 #include <string>
@@ -10,23 +10,23 @@
 /// Replaces `removed` bytes at `offset` by `inserted`. One edit of a list
 /// changes one place of it, so this is a few hundred bytes where the list
 /// has a hundred thousand.
-struct splice
+struct delta
 {
     std::uint64_t revision = 0;
     std::uint32_t offset = 0;
     std::uint32_t removed = 0;
     std::string inserted;
 
-    friend bool operator==(splice const&, splice const&) = default;
+    friend bool operator==(delta const&, delta const&) = default;
 };
 
 /// The one splice that turns `before` into `after`, which is `revision`.
-splice make_splice(std::string const& before,
-                   std::string const& after,
-                   std::uint64_t revision);
+delta make_delta(std::string const& before,
+                 std::string const& after,
+                 std::uint64_t revision);
 
 /// Applies `splices` in order to `body`; false if one lies outside of it.
-bool apply_splices(std::vector<splice> const& splices, std::string& body);
+bool apply_deltas(std::vector<delta> const& deltas, std::string& body);
 
 } // namespace caperjunction::fleet
 
--- a/src/fleet/splice_chain.hpp
+++ b/src/fleet/delta_chain.hpp
@@ -1,7 +1,7 @@
-#ifndef CAPERJUNCTION_FLEET_SPLICE_CHAIN_HPP
-#define CAPERJUNCTION_FLEET_SPLICE_CHAIN_HPP
+#ifndef CAPERJUNCTION_FLEET_DELTA_CHAIN_HPP
+#define CAPERJUNCTION_FLEET_DELTA_CHAIN_HPP
 
-#include "fleet/splice.hpp"
+#include "fleet/delta.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -14,13 +14,13 @@
 /// The last splices of one value, each building on the one before.
 ///
 /// Thread safety: none; owned by one task.
-class splice_chain
+class delta_chain
 {
 public:
     /// Appends the splices that lead from `base` on. A chain that doesn't
     /// end at `base` is begun anew. Old ones go when `memory` is exceeded.
     void append(std::uint64_t base,
-                std::vector<splice> const& splices,
+                std::vector<delta> const& deltas,
                 std::size_t memory);
 
     /// Forgets all.
@@ -28,13 +28,13 @@
 
     /// The splices that lead from `held` to the end, or nothing if they
     /// aren't known or would take more than `most_bytes`.
-    std::optional<std::vector<splice>> since(std::uint64_t held,
-                                             std::size_t most_bytes) const;
+    std::optional<std::vector<delta>> since(std::uint64_t held,
+                                            std::size_t max_bytes) const;
 
 private:
     std::uint64_t m_base = 0;
     std::size_t m_bytes = 0;
-    std::deque<splice> m_splices;
+    std::deque<delta> m_deltas;
 };
 
 } // namespace caperjunction::fleet
--- a/src/fleet/digest_exchange.cpp
+++ b/src/fleet/digest_exchange.cpp
@@ -29,12 +29,12 @@
                              model::time_point now,
                              std::vector<agent_output>& out)
 {
-    if (auto const* made = std::get_if<digest_made>(&event)) {
+    if (auto const* made = std::get_if<digest_updated>(&event)) {
         m_bytes = made->bytes;
         send(now, out);
     } else if (auto const* message = std::get_if<message_received>(&event)) {
         if (auto const* digest = std::get_if<load_digest>(&message->message)) {
-            take(*digest, out);
+            handle_digest(*digest, out);
         }
     } else if (std::holds_alternative<agent_tick>(event)) {
         send(now, out);
@@ -105,10 +105,10 @@
                    std::chrono::duration_cast<model::milliseconds>(affordable));
 }
 
-void digest_exchange::take(load_digest const& digest,
-                           std::vector<agent_output>& out)
+void digest_exchange::handle_digest(load_digest const& digest,
+                                    std::vector<agent_output>& out)
 {
-    std::uint64_t& seen = m_seen[digest.host];
+    std::uint64_t& seen = m_last_sequence[digest.host];
     if (digest.sequence <= seen) {
         return;
     }
--- a/src/fleet/digest_exchange.hpp
+++ b/src/fleet/digest_exchange.hpp
@@ -48,7 +48,8 @@
 private:
     void send(model::time_point now, std::vector<agent_output>& out);
     std::vector<std::string> next_targets();
-    void take(load_digest const& digest, std::vector<agent_output>& out);
+    void handle_digest(load_digest const& digest,
+                       std::vector<agent_output>& out);
 
     digest_settings m_settings;
     std::string m_host;
@@ -58,7 +59,7 @@
     std::vector<std::string> m_partners;
     std::vector<std::string> m_others;
     std::size_t m_next_other = 0;
-    std::map<std::string, std::uint64_t> m_seen;
+    std::map<std::string, std::uint64_t> m_last_sequence;
     model::time_point m_next_send{};
 };
 
--- a/src/fleet/hand_over_message.hpp
+++ b/src/fleet/hand_over_message.hpp
@@ -20,7 +20,7 @@
 };
 
 /// One host asks another to serve a caller's request (one hop at most).
-struct handover_request
+struct hand_over_request
 {
     model::request_id id;
     std::string method;
@@ -30,12 +30,12 @@
     /// How long the request has waited already; clocks differ, ages don't.
     model::milliseconds waited{0};
 
-    friend bool operator==(handover_request const&,
-                           handover_request const&) = default;
+    friend bool operator==(hand_over_request const&,
+                           hand_over_request const&) = default;
 };
 
 /// A part of the answer. `status` and `headers` come with the first alone.
-struct handover_chunk
+struct hand_over_chunk
 {
     model::request_id id;
     /// 0 in all parts but the first.
@@ -43,12 +43,12 @@
     std::vector<header_field> headers;
     std::string bytes;
 
-    friend bool operator==(handover_chunk const&,
-                           handover_chunk const&) = default;
+    friend bool operator==(hand_over_chunk const&,
+                           hand_over_chunk const&) = default;
 };
 
 /// How the handed-over request ended at the other host.
-enum class handover_result : std::uint8_t
+enum class hand_over_result : std::uint8_t
 {
     /// The whole answer has been sent in chunks.
     complete,
@@ -59,23 +59,24 @@
 };
 
 /// The last message about a handed-over request, from the serving host.
-struct handover_end
+struct hand_over_end
 {
     model::request_id id;
-    handover_result result = handover_result::complete;
+    hand_over_result result = hand_over_result::complete;
     model::outcome outcome = model::outcome::unknown;
     std::string reason;
 
-    friend bool operator==(handover_end const&, handover_end const&) = default;
+    friend bool operator==(hand_over_end const&,
+                           hand_over_end const&) = default;
 };
 
 /// The caller hung up, or the answer is of no use any more.
-struct handover_cancel
+struct hand_over_cancel
 {
     model::request_id id;
 
-    friend bool operator==(handover_cancel const&,
-                           handover_cancel const&) = default;
+    friend bool operator==(hand_over_cancel const&,
+                           hand_over_cancel const&) = default;
 };
 
 } // namespace caperjunction::fleet
--- a/src/fleet/membership.cpp
+++ b/src/fleet/membership.cpp
@@ -12,11 +12,11 @@
 
 membership::membership(membership_settings settings)
     : m_settings(std::move(settings))
-    , m_rumours(m_settings.check_generation)
-    , m_guard(m_settings.pause_limit)
+    , m_updates(m_settings.check_generation)
+    , m_pause_detector(m_settings.pause_limit)
     , m_view(std::make_shared<host_view>())
 {
-    m_rumours.raise({m_settings.self.name, m_settings.generation});
+    m_updates.merge({m_settings.self.name, m_settings.generation});
 }
 
 void membership::handle(agent_event const& event,
@@ -28,20 +28,20 @@
     if (m_started == model::time_point{}) {
         m_started = now;
     }
-    if (m_guard.note_wake(now)) {
-        wake();
+    if (m_pause_detector.record_wakeup(now)) {
+        begin_refresh();
     }
     std::visit(
         [this](auto const& told) {
-            take(told);
+            on_event(told);
         },
         event);
-    spread_news();
+    broadcast_updates();
     update_view(std::holds_alternative<agent_tick>(event));
     m_out = nullptr;
 }
 
-void membership::take(hosts_listed const& event)
+void membership::on_event(hosts_listed const& event)
 {
     if (event.hosts.revision < m_list_revision) {
         return;
@@ -59,22 +59,22 @@
         if (known != m_peers.end()) {
             peer = known->second;
         } else {
-            peer.awaited = m_now;
+            peer.expected_since = m_now;
         }
         peer.host = host;
     }
-    tell_unlisted(listed);
+    report_unlisted(listed);
     m_peers = std::move(listed);
-    m_rumours.keep_only([this](std::string const& name) {
+    m_updates.retain_only([this](std::string const& name) {
         return name == m_settings.self.name || m_peers.count(name) != 0;
     });
     for (auto const& [name, peer] : m_peers) {
-        m_touched.insert(name);
+        m_changed_hosts.insert(name);
     }
     m_urgent = true;
 }
 
-void membership::tell_unlisted(
+void membership::report_unlisted(
     std::map<std::string, membership_peer> const& listed)
 {
     for (auto const& [name, peer] : m_peers) {
@@ -85,16 +85,17 @@
     }
 }
 
-void membership::take(message_received const& event)
+void membership::on_event(message_received const& event)
 {
     if (find(event.from) == nullptr) {
         return;
     }
     if (auto const* beat = std::get_if<heartbeat>(&event.message)) {
-        take_heartbeat(event.from, *beat);
-    } else if (auto const* news = std::get_if<host_rumours>(&event.message)) {
-        for (host_rumour const& rumour : news->rumours) {
-            take_rumour(rumour);
+        handle_heartbeat(event.from, *beat);
+    } else if (auto const* news =
+                   std::get_if<membership_updates>(&event.message)) {
+        for (membership_update const& update : news->updates) {
+            handle_update(update);
         }
     } else if (auto const* asked = std::get_if<probe>(&event.message)) {
         send(event.from,
@@ -102,39 +103,39 @@
                          m_settings.generation,
                          m_leaving,
                          m_configuration,
-                         m_rumours.all()});
+                         m_updates.all()});
     } else if (auto const* reply = std::get_if<probe_reply>(&event.message)) {
-        take_probe_reply(event.from, *reply);
+        handle_probe_reply(event.from, *reply);
     }
 }
 
-void membership::take(link_up const& event)
+void membership::on_event(link_up const& event)
 {
     // What was spread while the link was down would never reach the peer.
-    host_rumours missed;
-    for (host_rumour const& rumour : m_rumours.all()) {
-        if (rumour.kind != rumour_kind::heard) {
-            missed.rumours.push_back(rumour);
+    membership_updates missed;
+    for (membership_update const& update : m_updates.all()) {
+        if (update.kind != update_kind::alive) {
+            missed.updates.push_back(update);
         }
     }
-    if (!missed.rumours.empty()) {
+    if (!missed.updates.empty()) {
         send(event.host, std::move(missed));
     }
 }
 
-void membership::take(stop_planned const&)
+void membership::on_event(stop_planned const&)
 {
     m_leaving = true;
     m_urgent = true;
-    host_rumour own = m_rumours.find(m_settings.self.name);
-    own.kind = rumour_kind::leaving;
-    raise(own);
+    membership_update own = m_updates.find(m_settings.self.name);
+    own.kind = update_kind::leaving;
+    merge_update(own);
     // At once rather than with the next heartbeat: until it is heard, peers
     // still hand requests over to this host.
     send_heartbeats();
 }
 
-void membership::take(agent_tick const&)
+void membership::on_event(agent_tick const&)
 {
     if (m_now >= m_next_heartbeat) {
         send_heartbeats();
@@ -146,29 +147,29 @@
     check_refreshed();
 }
 
-void membership::take_heartbeat(std::string const& from,
-                                heartbeat const& message)
+void membership::handle_heartbeat(std::string const& from,
+                                  heartbeat const& message)
 {
     membership_peer& peer = *find(from);
     if (message.expects_reply) {
-        peer.asked = m_now;
+        peer.last_reply_request = m_now;
     }
-    hear(from, message.generation, message.leaving);
-    if (!peer.proven) {
+    record_contact(from, message.generation, message.leaving);
+    if (!peer.verified) {
         send(from, probe{m_probe_number});
     }
     compare_tables(peer, message);
 }
 
-void membership::take_probe_reply(std::string const& from,
-                                  probe_reply const& message)
+void membership::handle_probe_reply(std::string const& from,
+                                    probe_reply const& message)
 {
     bool const current = message.number == m_probe_number;
     membership_peer& peer = *find(from);
-    peer.proven = peer.proven || current;
-    hear(from, message.generation, message.leaving);
-    for (host_rumour const& rumour : message.rumours) {
-        take_rumour(rumour);
+    peer.verified = peer.verified || current;
+    record_contact(from, message.generation, message.leaving);
+    for (membership_update const& update : message.updates) {
+        handle_update(update);
     }
     if (current) {
         m_replies.insert(from);
@@ -176,11 +177,11 @@
     }
 }
 
-void membership::hear(std::string const& from,
-                      std::uint64_t generation,
-                      bool leaving)
+void membership::record_contact(std::string const& from,
+                                std::uint64_t generation,
+                                bool leaving)
 {
-    host_rumour known = m_rumours.find(from);
+    membership_update known = m_updates.find(from);
     // Bytes of a process that is gone may still come out of a socket, or of
     // a peer that slept. Taken for its successor's, a late "leaving" would
     // keep all work away from a host that has just started.
@@ -189,65 +190,67 @@
     }
     if (m_settings.check_generation && generation > known.generation) {
         known = {from, generation};
-        raise(known);
+        merge_update(known);
     } else if (!m_settings.check_generation) {
         known.generation = generation;
     }
     if (leaving) {
-        known.kind = rumour_kind::leaving;
-        raise(known);
+        known.kind = update_kind::leaving;
+        merge_update(known);
     }
     membership_peer& peer = *find(from);
-    if (!peer.proven) {
+    if (!peer.verified) {
         return;
     }
-    peer.heard = m_now;
+    peer.last_seen = m_now;
     if (!leaving) {
-        refute_by_life(peer, known);
+        refute_on_contact(peer, known);
     }
 }
 
-void membership::refute_by_life(membership_peer const& peer, host_rumour known)
+void membership::refute_on_contact(membership_peer const& peer,
+                                   membership_update known)
 {
-    if (known.kind == rumour_kind::silent
-        && (m_settings.refute || peer.reported != model::time_point{})) {
+    if (known.kind == update_kind::suspect
+        && (m_settings.refute || peer.last_reported != model::time_point{})) {
         refute(known);
-    } else if (known.kind == rumour_kind::leaving
+    } else if (known.kind == update_kind::leaving
                && !m_settings.check_generation && !peer.host.leaving) {
         // Without generations its own word is all that can end the state.
-        ++known.round;
+        ++known.suspicion_count;
         refute(known);
     }
 }
 
-void membership::take_rumour(host_rumour const& rumour)
+void membership::handle_update(membership_update const& update)
 {
-    if (rumour.host == m_settings.self.name) {
-        take_rumour_about_self(rumour);
+    if (update.host == m_settings.self.name) {
+        handle_update_about_self(update);
         return;
     }
-    membership_peer* const peer = find(rumour.host);
-    if (peer == nullptr || !raise(rumour)) {
+    membership_peer* const peer = find(update.host);
+    if (peer == nullptr || !merge_update(update)) {
         return;
     }
     bool const refutable = m_settings.refute && peer->neighbour;
-    if (rumour.kind == rumour_kind::silent && refutable && hears(*peer)) {
-        refute(rumour);
+    if (update.kind == update_kind::suspect && refutable
+        && has_recent_contact(*peer)) {
+        refute(update);
     }
 }
 
-void membership::take_rumour_about_self(host_rumour const& rumour)
+void membership::handle_update_about_self(membership_update const& update)
 {
     if (m_settings.check_generation
-        && rumour.generation != m_settings.generation) {
-        outgrow(rumour);
+        && update.generation != m_settings.generation) {
+        supersede_predecessor(update);
         return;
     }
-    if (!raise(rumour)) {
+    if (!merge_update(update)) {
         return;
     }
-    if (rumour.kind == rumour_kind::silent && m_settings.refute) {
-        refute(rumour);
+    if (update.kind == update_kind::suspect && m_settings.refute) {
+        refute(update);
     }
 }
 
@@ -256,41 +259,41 @@
 // as news of a later process of its own name, and takes a number above. A
 // process that has lived for a while must not: it has been replaced, and is
 // the one that woke up late.
-void membership::outgrow(host_rumour const& rumour)
+void membership::supersede_predecessor(membership_update const& update)
 {
-    if (rumour.generation < m_settings.generation
+    if (update.generation < m_settings.generation
         || m_now - m_started > start_phase) {
         return;
     }
-    m_settings.generation = rumour.generation + 1;
-    raise({m_settings.self.name, m_settings.generation});
+    m_settings.generation = update.generation + 1;
+    merge_update({m_settings.self.name, m_settings.generation});
 }
 
-void membership::refute(host_rumour rumour)
+void membership::refute(membership_update update)
 {
-    rumour.kind = rumour_kind::heard;
-    raise(rumour);
+    update.kind = update_kind::alive;
+    merge_update(update);
 }
 
-bool membership::raise(host_rumour const& rumour)
+bool membership::merge_update(membership_update const& update)
 {
-    host_rumour const before = m_rumours.find(rumour.host);
-    if (!m_rumours.raise(rumour)) {
+    membership_update const before = m_updates.find(update.host);
+    if (!m_updates.merge(update)) {
         return false;
     }
-    m_news.push_back(rumour);
-    m_touched.insert(rumour.host);
-    membership_peer* const peer = find(rumour.host);
+    m_pending_updates.push_back(update);
+    m_changed_hosts.insert(update.host);
+    membership_peer* const peer = find(update.host);
     if (peer == nullptr) {
         return true;
     }
-    if (rumour.kind == rumour_kind::silent) {
-        peer->silent_since = m_now;
+    if (update.kind == update_kind::suspect) {
+        peer->suspected_since = m_now;
     }
     if (m_settings.check_generation && before.generation != 0
-        && rumour.generation > before.generation) {
-        peer->awaited = m_now;
-        m_out->push_back(host_changed{rumour.host,
+        && update.generation > before.generation) {
+        peer->expected_since = m_now;
+        m_out->push_back(host_changed{update.host,
                                       host_change::restarted,
                                       "a later generation is heard"});
     }
--- a/src/fleet/membership.hpp
+++ b/src/fleet/membership.hpp
@@ -5,8 +5,8 @@
 #include "fleet/agent_output.hpp"
 #include "fleet/membership_peer.hpp"
 #include "fleet/membership_settings.hpp"
-#include "fleet/rumour_table.hpp"
-#include "fleet/wake_guard.hpp"
+#include "fleet/pause_detector.hpp"
+#include "fleet/update_table.hpp"
 #include "model/time.hpp"
 
 #include <cstdint>
@@ -39,16 +39,16 @@
                 std::vector<agent_output>& out);
 
     /// What the next heartbeats tell of this host's configuration.
-    void announce(config_announce const& configuration)
+    void set_announcement(config_announce const& configuration)
     {
         m_configuration = configuration;
     }
 
     /// Whether peers have a newer configuration than is in force here; after
     /// a pause the view doesn't count as refreshed until that is mended.
-    void set_behind(bool behind)
+    void set_behind_peers(bool behind)
     {
-        m_behind = behind;
+        m_behind_peers = behind;
     }
 
     std::shared_ptr<host_view const> view() const
@@ -63,54 +63,58 @@
     }
 
     /// False from a long pause until neighbours have been heard again.
-    bool fresh() const
+    bool is_view_current() const
     {
-        return m_guard.may_act();
+        return m_pause_detector.is_current();
     }
 
 private:
     using outputs = std::vector<agent_output>;
 
     // membership.cpp: what is told.
-    void take(hosts_listed const& event);
-    void take(message_received const& event);
-    void take(link_up const& event);
-    void take(stop_planned const& event);
-    void take(agent_tick const& event);
+    void on_event(hosts_listed const& event);
+    void on_event(message_received const& event);
+    void on_event(link_up const& event);
+    void on_event(stop_planned const& event);
+    void on_event(agent_tick const& event);
 
     template <typename Other>
-    void take(Other const&)
+    void on_event(Other const&)
     {
     }
 
-    void take_heartbeat(std::string const& from, heartbeat const& message);
-    void take_probe_reply(std::string const& from, probe_reply const& message);
-    void hear(std::string const& from, std::uint64_t generation, bool leaving);
-    void refute_by_life(membership_peer const& peer, host_rumour known);
-    void take_rumour(host_rumour const& rumour);
-    void take_rumour_about_self(host_rumour const& rumour);
-    void outgrow(host_rumour const& rumour);
-    void tell_unlisted(std::map<std::string, membership_peer> const& listed);
-    void refute(host_rumour rumour);
-    bool raise(host_rumour const& rumour);
+    void handle_heartbeat(std::string const& from, heartbeat const& message);
+    void handle_probe_reply(std::string const& from,
+                            probe_reply const& message);
+    void record_contact(std::string const& from,
+                        std::uint64_t generation,
+                        bool leaving);
+    void refute_on_contact(membership_peer const& peer,
+                           membership_update known);
+    void handle_update(membership_update const& update);
+    void handle_update_about_self(membership_update const& update);
+    void supersede_predecessor(membership_update const& update);
+    void report_unlisted(std::map<std::string, membership_peer> const& listed);
+    void refute(membership_update update);
+    bool merge_update(membership_update const& update);
 
     // membership_tick.cpp: what time brings.
-    void wake();
+    void begin_refresh();
     void send_heartbeats();
     void check_silence();
-    void report_silent(membership_peer& peer);
+    void report_suspect(membership_peer& peer);
     void probe_one_lost();
     void expire_suspects();
     void check_refreshed();
     void compare_tables(membership_peer& peer, heartbeat const& message);
-    bool hears(membership_peer const& peer) const;
+    bool has_recent_contact(membership_peer const& peer) const;
     bool is_silent(membership_peer const& peer) const;
 
     // membership_view.cpp: what is told to others.
-    void spread_news();
+    void broadcast_updates();
     void update_view(bool ticking);
     host_state state_of(membership_peer const& peer) const;
-    void tell_change(membership_peer const& peer, host_state before);
+    void report_change(membership_peer const& peer, host_state before);
     void update_neighbours();
     void publish();
     heartbeat make_heartbeat(bool expects_reply) const;
@@ -118,8 +122,8 @@
     membership_peer* find(std::string const& name);
 
     membership_settings m_settings;
-    rumour_table m_rumours;
-    wake_guard m_guard;
+    update_table m_updates;
+    pause_detector m_pause_detector;
     std::map<std::string, membership_peer> m_peers;
     std::vector<std::string> m_neighbours;
     std::shared_ptr<host_view const> m_view;
@@ -128,7 +132,7 @@
     model::time_point m_started{};
     bool m_leaving = false;
     /// Hosts whose state has to be worked out anew.
-    std::set<std::string> m_touched;
+    std::set<std::string> m_changed_hosts;
     /// The published view lacks something; at once, if urgent.
     bool m_unpublished = false;
     bool m_urgent = true;
@@ -140,13 +144,13 @@
     std::uint64_t m_probe_number = 0;
     std::size_t m_probed = 0;
     std::set<std::string> m_replies;
-    bool m_behind = false;
+    bool m_behind_peers = false;
     model::time_point m_refresh_deadline{};
 
     // Of the call that is running.
     model::time_point m_now{};
     outputs* m_out = nullptr;
-    std::vector<host_rumour> m_news;
+    std::vector<membership_update> m_pending_updates;
 };
 
 } // namespace caperjunction::fleet
--- a/src/fleet/membership_message.hpp
+++ b/src/fleet/membership_message.hpp
@@ -11,35 +11,37 @@
 
 /// What is said of a host. Within one round, a later kind outranks an
 /// earlier one: one peer that hears a host refutes all that don't.
-enum class rumour_kind : std::uint8_t
+enum class update_kind : std::uint8_t
 {
     /// A neighbour has not heard it for the silence limit.
-    silent,
+    suspect,
     /// A neighbour hears it.
-    heard,
+    alive,
     /// It said that it is about to stop; outranks every round.
     leaving,
 };
 
 /// One statement about one process, passed on from neighbour to neighbour.
-struct host_rumour
+struct membership_update
 {
     std::string host;
     /// The process it is about; see `generation.hpp`.
     std::uint64_t generation = 0;
     /// Counts the suspicions raised about this generation.
-    std::uint32_t round = 0;
-    rumour_kind kind = rumour_kind::heard;
+    std::uint32_t suspicion_count = 0;
+    update_kind kind = update_kind::alive;
 
-    friend bool operator==(host_rumour const&, host_rumour const&) = default;
+    friend bool operator==(membership_update const&,
+                           membership_update const&) = default;
 };
 
 /// Rumours that are new to the sender, or all that it holds.
-struct host_rumours
+struct membership_updates
 {
-    std::vector<host_rumour> rumours;
+    std::vector<membership_update> updates;
 
-    friend bool operator==(host_rumours const&, host_rumours const&) = default;
+    friend bool operator==(membership_updates const&,
+                           membership_updates const&) = default;
 };
 
 /// Sent to each neighbour once a period.
@@ -52,7 +54,7 @@
     /// would make hosts report each other for ever.
     bool expects_reply = false;
     /// Hash over all rumours the sender holds; equal hashes, equal rumours.
-    std::uint64_t rumours_hash = 0;
+    std::uint64_t updates_hash = 0;
     config_announce configuration;
 
     friend bool operator==(heartbeat const&, heartbeat const&) = default;
@@ -75,7 +77,7 @@
     std::uint64_t generation = 0;
     bool leaving = false;
     config_announce configuration;
-    std::vector<host_rumour> rumours;
+    std::vector<membership_update> updates;
 
     friend bool operator==(probe_reply const&, probe_reply const&) = default;
 };
--- a/src/fleet/membership_peer.hpp
+++ b/src/fleet/membership_peer.hpp
@@ -20,19 +20,19 @@
     /// False from a pause of this host until the peer answers a probe. What
     /// lay in the socket meanwhile tells nothing of whether it lives now;
     /// taken for a sign of life, it would refute the loss of a dead host.
-    bool proven = true;
+    bool verified = true;
     /// The last sign of life that came from itself.
-    model::time_point heard{};
+    model::time_point last_seen{};
     /// Silence counts from here at the earliest: it takes time to connect.
-    model::time_point awaited{};
+    model::time_point expected_since{};
     /// The last heartbeat from it that expects one in return.
-    model::time_point asked{};
+    model::time_point last_reply_request{};
     /// When the report of its silence reached this host.
-    model::time_point silent_since{};
+    model::time_point suspected_since{};
     /// When this host itself last reported it silent.
-    model::time_point reported{};
+    model::time_point last_reported{};
     /// When it last got the whole table of rumours.
-    model::time_point synced{};
+    model::time_point last_synced{};
     /// Heartbeats in a row with a table that differs from the own one.
     std::uint32_t mismatches = 0;
 };
--- a/src/fleet/membership_settings.hpp
+++ b/src/fleet/membership_settings.hpp
@@ -19,9 +19,9 @@
     /// A neighbour not heard for this long is reported silent.
     model::milliseconds silence_limit{2'000};
     /// How long its other neighbours have to refute that.
-    model::milliseconds refute_time{1'000};
+    model::milliseconds suspicion_timeout{1'000};
     /// A refuted report is not repeated sooner than this.
-    model::milliseconds report_again{10'000};
+    model::milliseconds min_report_interval{10'000};
     /// Up to this many hosts, everyone is everyone's neighbour.
     std::size_t full_mesh_hosts = 8;
     /// A gap between wake-ups that makes the own view old.
--- a/src/fleet/membership_tick.cpp
+++ b/src/fleet/membership_tick.cpp
@@ -20,24 +20,24 @@
 // Reporting that would spread false news about the whole fleet; acting by
 // the old view is worse. So all clocks start anew, and neighbours are asked
 // for a sign that can't have lain in a socket since before the pause.
-void membership::wake()
+void membership::begin_refresh()
 {
     if (!m_settings.refresh_after_pause) {
-        m_guard.refreshed();
+        m_pause_detector.refreshed();
         return;
     }
     for (auto& [name, peer] : m_peers) {
-        peer.awaited = m_now;
-        peer.proven = false;
+        peer.expected_since = m_now;
+        peer.verified = false;
         if (peer.state == host_state::suspect) {
-            peer.silent_since = m_now;
+            peer.suspected_since = m_now;
         }
     }
     ++m_probe_number;
     m_replies.clear();
     m_probed = m_neighbours.size();
     m_refresh_deadline =
-        m_now + m_settings.silence_limit + m_settings.refute_time;
+        m_now + m_settings.silence_limit + m_settings.suspicion_timeout;
     m_out->push_back(view_outdated{});
     for (std::string const& name : m_neighbours) {
         send(name, probe{m_probe_number});
@@ -51,7 +51,7 @@
 // meanwhile is no longer waited for once its report can't be refuted.
 void membership::check_refreshed()
 {
-    if (m_guard.may_act()) {
+    if (m_pause_detector.is_current()) {
         return;
     }
     bool const undecided =
@@ -59,8 +59,9 @@
             return entry.second.state == host_state::suspect;
         });
     bool const answered = m_replies.size() * 2 >= m_probed;
-    if ((answered && !undecided && !m_behind) || m_now >= m_refresh_deadline) {
-        m_guard.refreshed();
+    if ((answered && !undecided && !m_behind_peers)
+        || m_now >= m_refresh_deadline) {
+        m_pause_detector.refreshed();
         m_out->push_back(view_refreshed{});
     }
 }
@@ -68,7 +69,8 @@
 void membership::send_heartbeats()
 {
     for (auto const& [name, peer] : m_peers) {
-        bool const asked = m_now - peer.asked < m_settings.silence_limit;
+        bool const asked =
+            m_now - peer.last_reply_request < m_settings.silence_limit;
         if (peer.neighbour || asked) {
             send(name, make_heartbeat(peer.neighbour));
         }
@@ -77,14 +79,15 @@
 
 // Whether this host can vouch for the other: it heard it so lately that the
 // next heartbeat is not overdue. Anything older would refute a true report.
-bool membership::hears(membership_peer const& peer) const
+bool membership::has_recent_contact(membership_peer const& peer) const
 {
-    return peer.proven && m_now - peer.heard < 2 * m_settings.heartbeat_period;
+    return peer.verified
+           && m_now - peer.last_seen < 2 * m_settings.heartbeat_period;
 }
 
 bool membership::is_silent(membership_peer const& peer) const
 {
-    auto const since = std::max(peer.heard, peer.awaited);
+    auto const since = std::max(peer.last_seen, peer.expected_since);
     return m_now - since >= m_settings.silence_limit;
 }
 
@@ -97,24 +100,25 @@
             peer.reachable = heard;
             m_urgent = true;
         }
-        if (!heard && fresh()) {
-            report_silent(peer);
+        if (!heard && is_view_current()) {
+            report_suspect(peer);
         }
     }
 }
 
-void membership::report_silent(membership_peer& peer)
+void membership::report_suspect(membership_peer& peer)
 {
-    host_rumour rumour = m_rumours.find(peer.host.name);
-    bool const reported = peer.reported != model::time_point{}
-                          && m_now - peer.reported < m_settings.report_again;
-    if (rumour.kind != rumour_kind::heard || reported) {
+    membership_update update = m_updates.find(peer.host.name);
+    bool const recently_reported =
+        peer.last_reported != model::time_point{}
+        && m_now - peer.last_reported < m_settings.min_report_interval;
+    if (update.kind != update_kind::alive || recently_reported) {
         return;
     }
-    peer.reported = m_now;
-    ++rumour.round;
-    rumour.kind = rumour_kind::silent;
-    raise(rumour);
+    peer.last_reported = m_now;
+    ++update.suspicion_count;
+    update.kind = update_kind::suspect;
+    merge_update(update);
 }
 
 // Both parts of a split take the other's hosts for lost and have no links to
@@ -145,7 +149,7 @@
     for (auto const& [name, peer] : m_peers) {
         if (peer.state == host_state::suspect
             && state_of(peer) != host_state::suspect) {
-            m_touched.insert(name);
+            m_changed_hosts.insert(name);
         }
     }
 }
@@ -154,21 +158,21 @@
 // show it, and the whole table mends it.
 void membership::compare_tables(membership_peer& peer, heartbeat const& message)
 {
-    if (message.rumours_hash == m_rumours.hash()) {
+    if (message.updates_hash == m_updates.hash()) {
         peer.mismatches = 0;
         return;
     }
     ++peer.mismatches;
     auto const spacing = std::max<model::milliseconds>(
         shortest_sync_period, sync_period_per_host * m_peers.size());
-    bool const synced =
-        peer.synced != model::time_point{} && m_now - peer.synced < spacing;
-    if (peer.mismatches < mismatches_before_sync || synced) {
+    bool const recently_synced = peer.last_synced != model::time_point{}
+                                 && m_now - peer.last_synced < spacing;
+    if (peer.mismatches < mismatches_before_sync || recently_synced) {
         return;
     }
     peer.mismatches = 0;
-    peer.synced = m_now;
-    send(peer.host.name, host_rumours{m_rumours.all()});
+    peer.last_synced = m_now;
+    send(peer.host.name, membership_updates{m_updates.all()});
 }
 
 } // namespace caperjunction::fleet
--- a/src/fleet/membership_view.cpp
+++ b/src/fleet/membership_view.cpp
@@ -13,7 +13,7 @@
     message.generation = m_settings.generation;
     message.leaving = m_leaving;
     message.expects_reply = expects_reply;
-    message.rumours_hash = m_rumours.hash();
+    message.updates_hash = m_updates.hash();
     message.configuration = m_configuration;
     return message;
 }
@@ -29,32 +29,33 @@
     return place == m_peers.end() ? nullptr : &place->second;
 }
 
-void membership::spread_news()
+void membership::broadcast_updates()
 {
-    if (m_news.empty()) {
+    if (m_pending_updates.empty()) {
         return;
     }
     // What has been outranked within the same call is not worth its bytes.
-    std::erase_if(m_news, [this](host_rumour const& rumour) {
-        return m_rumours.find(rumour.host) != rumour;
+    std::erase_if(m_pending_updates, [this](membership_update const& update) {
+        return m_updates.find(update.host) != update;
     });
     for (std::string const& name : m_neighbours) {
         // Refutations have to reach the sender too; it skips what it knows.
-        send(name, host_rumours{m_news});
+        send(name, membership_updates{m_pending_updates});
     }
-    m_news.clear();
+    m_pending_updates.clear();
 }
 
 host_state membership::state_of(membership_peer const& peer) const
 {
-    host_rumour const rumour = m_rumours.find(peer.host.name);
-    if (peer.host.leaving || rumour.kind == rumour_kind::leaving) {
+    membership_update const update = m_updates.find(peer.host.name);
+    if (peer.host.leaving || update.kind == update_kind::leaving) {
         return host_state::leaving;
     }
-    if (rumour.kind == rumour_kind::heard) {
+    if (update.kind == update_kind::alive) {
         return host_state::alive;
     }
-    bool const expired = m_now - peer.silent_since >= m_settings.refute_time;
+    bool const expired =
+        m_now - peer.suspected_since >= m_settings.suspicion_timeout;
     return expired ? host_state::lost : host_state::suspect;
 }
 
@@ -63,8 +64,8 @@
 // keep every host busy for seconds.
 void membership::update_view(bool ticking)
 {
-    m_unpublished = m_unpublished || !m_touched.empty();
-    for (std::string const& name : m_touched) {
+    m_unpublished = m_unpublished || !m_changed_hosts.empty();
+    for (std::string const& name : m_changed_hosts) {
         membership_peer* const peer = find(name);
         if (peer == nullptr) {
             continue;
@@ -72,9 +73,9 @@
         host_state const before = peer->state;
         peer->state = state_of(*peer);
         m_urgent = m_urgent || peer->state != before;
-        tell_change(*peer, before);
+        report_change(*peer, before);
     }
-    m_touched.clear();
+    m_changed_hosts.clear();
     if (m_urgent || (m_unpublished && ticking)) {
         m_urgent = false;
         m_unpublished = false;
@@ -83,7 +84,7 @@
     }
 }
 
-void membership::tell_change(membership_peer const& peer, host_state before)
+void membership::report_change(membership_peer const& peer, host_state before)
 {
     if (peer.state == before) {
         return;
@@ -120,7 +121,7 @@
         bool const chosen =
             std::binary_search(m_neighbours.begin(), m_neighbours.end(), name);
         if (chosen && !peer.neighbour) {
-            peer.awaited = m_now;
+            peer.expected_since = m_now;
         }
         peer.neighbour = chosen;
         peer.reachable = peer.reachable || !chosen;
@@ -139,7 +140,7 @@
     self.generation = m_settings.generation;
     view->hosts.push_back(std::move(self));
     for (auto const& [name, peer] : m_peers) {
-        auto const generation = m_rumours.find(name).generation;
+        auto const generation = m_updates.find(name).generation;
         view->hosts.push_back(
             {peer.host, peer.state, generation, peer.reachable});
     }
--- a/src/fleet/neighbours.cpp
+++ b/src/fleet/neighbours.cpp
@@ -21,7 +21,7 @@
     {
     }
 
-    void look_at(ring_host const& host)
+    void visit(ring_host const& host)
     {
         // Distances wrap around, which is what closes the ring.
         std::uint64_t const forward = place(host) - m_self;
@@ -78,7 +78,7 @@
             if (everyone) {
                 names.insert(host.name);
             } else if (on_ring) {
-                search.look_at(host);
+                search.visit(host);
             }
         }
         search.collect(names);
--- a/src/fleet/order.hpp
+++ b/src/fleet/order.hpp
@@ -29,7 +29,7 @@
 };
 
 /// One host's wish that an engine serve a model. Goes to the engine's orderer.
-struct order_wish
+struct order_request
 {
     std::string engine;
     std::string model;
@@ -44,10 +44,10 @@
 };
 
 /// Send the wish to the host that orders that engine.
-struct order_wish_forward
+struct order_request_forward
 {
     std::string to;
-    order_wish wish;
+    order_request request;
 };
 
 /// Hand the order to the engine, if `orderer::may_send` still says so when
@@ -58,7 +58,7 @@
 };
 
 /// Everything that an orderer can ask for.
-using order_decision = std::variant<order_wish_forward, order_send>;
+using order_decision = std::variant<order_request_forward, order_send>;
 
 } // namespace caperjunction::fleet
 
--- a/src/fleet/order_event.hpp
+++ b/src/fleet/order_event.hpp
@@ -40,9 +40,9 @@
 };
 
 /// A wish of this host's router, or one that a peer forwarded.
-struct order_wished
+struct order_requested
 {
-    order_wish wish;
+    order_request request;
     /// A forwarded wish goes no further: two hosts whose lists differ would
     /// else send it to and fro.
     bool forwarded = false;
@@ -78,7 +78,7 @@
 using order_event = std::variant<order_hosts_listed,
                                  order_hosts_confirmed,
                                  order_engines_listed,
-                                 order_wished,
+                                 order_requested,
                                  order_ended,
                                  order_stop_planned,
                                  order_tick>;
--- a/src/fleet/order_settings.hpp
+++ b/src/fleet/order_settings.hpp
@@ -21,17 +21,17 @@
     model::milliseconds lease{10'000};
     /// How long an order may be on its way to an engine; its connection is
     /// closed after that.
-    model::milliseconds flight{5'000};
+    model::milliseconds delivery_timeout{5'000};
     /// How long a new orderer holds back from an engine that ignores fencing
     /// numbers: the one before must have stopped for certain.
     ///
     /// \pre above `lease` plus `flight`.
-    model::milliseconds quiet{30'000};
+    model::milliseconds takeover_delay{30'000};
     /// Least time between two orders to one engine: loading costs it tens of
     /// seconds, and a load that swings must not keep it loading.
-    model::milliseconds dwell{60'000};
+    model::milliseconds min_order_interval{60'000};
     /// A wish that isn't repeated is void after that.
-    model::milliseconds wish_life{120'000};
+    model::milliseconds request_lifetime{120'000};
     /// Loads a minute that the weights store bears from the whole fleet;
     /// each host takes an equal share.
     double loads_per_minute = 6.0;
--- a/src/fleet/orderer.cpp
+++ b/src/fleet/orderer.cpp
@@ -12,7 +12,7 @@
 
 orderer::orderer(order_settings settings)
     : m_settings(std::move(settings))
-    , m_guard(m_settings.pause_limit)
+    , m_pause_detector(m_settings.pause_limit)
 {
 }
 
@@ -21,8 +21,8 @@
                      std::vector<order_decision>& out)
 {
     // A host that slept may have lost its engines to others meanwhile.
-    if (m_guard.note_wake(now)) {
-        m_woke = now;
+    if (m_pause_detector.record_wakeup(now)) {
+        m_last_pause_end = now;
     }
     std::visit(
         [&](auto const& what) {
@@ -53,8 +53,8 @@
                        decisions& /*out*/)
 {
     m_confirmed = std::max(m_confirmed, std::min(event.as_of, now));
-    if (event.as_of >= m_woke) {
-        m_guard.refreshed();
+    if (event.as_of >= m_last_pause_end) {
+        m_pause_detector.refreshed();
     }
 }
 
@@ -75,23 +75,23 @@
     m_engines = std::move(engines);
 }
 
-void orderer::on_event(order_wished const& event,
+void orderer::on_event(order_requested const& event,
                        model::time_point now,
                        decisions& out)
 {
-    auto const found = m_engines.find(event.wish.engine);
+    auto const found = m_engines.find(event.request.engine);
     if (found == m_engines.end()) {
         return;
     }
-    if (!found->second.mine) {
-        auto const owner = owner_of(event.wish.engine);
+    if (!found->second.owned) {
+        auto const owner = owner_of(event.request.engine);
         if (!event.forwarded && !owner.empty()) {
-            out.push_back(order_wish_forward{owner, event.wish});
+            out.push_back(order_request_forward{owner, event.request});
         }
         return;
     }
-    found->second.wish = event.wish;
-    found->second.wished = now;
+    found->second.request = event.request;
+    found->second.requested_at = now;
     on_event(order_tick{}, now, out);
 }
 
@@ -108,7 +108,7 @@
     bool const over =
         event.end == order_end::done || event.end == order_end::outdated;
     if (over) {
-        state.wish.reset();
+        state.request.reset();
     }
     // A failed order may have been taken all the same; it counts.
     if (event.end == order_end::not_sent) {
@@ -130,8 +130,9 @@
                        decisions& out)
 {
     for (auto& [name, state] : m_engines) {
-        if (state.wish && now - state.wished > m_settings.wish_life) {
-            state.wish.reset();
+        if (state.request
+            && now - state.requested_at > m_settings.request_lifetime) {
+            state.request.reset();
         }
         if (!due(state, now) || now < m_next_load.value_or(now)) {
             continue;
@@ -141,14 +142,14 @@
         state.ordered = true;
         state.last_order = now;
         fencing_number const number{m_revision, m_settings.generation};
-        out.push_back(order_send{order{name, state.wish->model, number}});
+        out.push_back(order_send{order{name, state.request->model, number}});
     }
 }
 
 bool orderer::may_send(order const& order, model::time_point now)
 {
-    if (m_guard.note_wake(now)) {
-        m_woke = now;
+    if (m_pause_detector.record_wakeup(now)) {
+        m_last_pause_end = now;
     }
     // An order that waited while the engine went to another host and came
     // back is older than that host's orders.
@@ -158,10 +159,10 @@
            && order.number == newest && allowed(found->second, now);
 }
 
-bool orderer::orders(std::string_view engine) const
+bool orderer::is_owner(std::string_view engine) const
 {
     auto const found = m_engines.find(engine);
-    return found != m_engines.end() && found->second.mine;
+    return found != m_engines.end() && found->second.owned;
 }
 
 std::string orderer::owner_of(std::string_view engine) const
@@ -171,14 +172,14 @@
 
 void orderer::assign(engine_state& state, model::time_point now) const
 {
-    bool const mine = owner_of(state.engine.name) == m_settings.host;
-    if (mine && !state.mine) {
-        state.since = now;
+    bool const owned = owner_of(state.engine.name) == m_settings.host;
+    if (owned && !state.owned) {
+        state.owned_since = now;
     }
-    if (!mine) {
-        state.wish.reset();
+    if (!owned) {
+        state.request.reset();
     }
-    state.mine = mine;
+    state.owned = owned;
 }
 
 // An engine that checks fencing numbers settles by itself who is newer. For
@@ -186,27 +187,27 @@
 // that a newer orderer, if there is one, still holds back.
 bool orderer::allowed(engine_state const& state, model::time_point now) const
 {
-    if (m_stopping || !state.mine || !m_guard.may_act()) {
+    if (m_stopping || !state.owned || !m_pause_detector.is_current()) {
         return false;
     }
     if (state.engine.checks_fencing) {
         return true;
     }
     return now - m_confirmed <= m_settings.lease
-           && now - state.since >= m_settings.quiet;
+           && now - state.owned_since >= m_settings.takeover_delay;
 }
 
 bool orderer::due(engine_state const& state, model::time_point now) const
 {
-    if (!state.wish || state.in_flight || !allowed(state, now)) {
+    if (!state.request || state.in_flight || !allowed(state, now)) {
         return false;
     }
     auto const& models = state.engine.models;
     bool const serves =
-        std::find(models.begin(), models.end(), state.wish->model)
+        std::find(models.begin(), models.end(), state.request->model)
         != models.end();
     bool const lately =
-        state.ordered && now - state.last_order < m_settings.dwell;
+        state.ordered && now - state.last_order < m_settings.min_order_interval;
     return !serves && !lately;
 }
 
@@ -226,17 +227,19 @@
 {
     append(out, m_settings.generation);
     append(out, m_revision);
-    append(out, (m_guard.may_act() ? 2U : 0U) + (m_stopping ? 1U : 0U));
+    append(out,
+           (m_pause_detector.is_current() ? 2U : 0U) + (m_stopping ? 1U : 0U));
     append_age(out, m_confirmed, now);
     append_age(out, std::max(now, m_next_load.value_or(now)), now);
     for (auto const& [name, state] : m_engines) {
         append(out, std::string_view(name));
         append(out,
-               (state.mine ? 4U : 0U) + (state.ordered ? 2U : 0U)
+               (state.owned ? 4U : 0U) + (state.ordered ? 2U : 0U)
                    + (state.in_flight ? 1U : 0U));
-        append_age(out, state.mine ? state.since : now, now);
-        append(out, std::string_view(state.wish ? state.wish->model : ""));
-        append_age(out, state.wish ? state.wished : now, now);
+        append_age(out, state.owned ? state.owned_since : now, now);
+        append(out,
+               std::string_view(state.request ? state.request->model : ""));
+        append_age(out, state.request ? state.requested_at : now, now);
         append_age(out, state.ordered ? state.last_order : now, now);
     }
 }
--- a/src/fleet/orderer.hpp
+++ b/src/fleet/orderer.hpp
@@ -4,7 +4,7 @@
 #include "fleet/order.hpp"
 #include "fleet/order_event.hpp"
 #include "fleet/order_settings.hpp"
-#include "fleet/wake_guard.hpp"
+#include "fleet/pause_detector.hpp"
 #include "model/time.hpp"
 
 #include <cstdint>
@@ -47,7 +47,7 @@
     bool may_send(order const& order, model::time_point now);
 
     /// Whether this host orders that engine, by its own list.
-    bool orders(std::string_view engine) const;
+    bool is_owner(std::string_view engine) const;
 
     /// See `append` in claim_fingerprint.hpp.
     void fingerprint(model::time_point now, std::string& out) const;
@@ -57,11 +57,11 @@
     struct engine_state
     {
         ordered_engine engine;
-        bool mine = false;
+        bool owned = false;
         /// Since when it has been this host's to order.
-        model::time_point since{};
-        std::optional<order_wish> wish;
-        model::time_point wished{};
+        model::time_point owned_since{};
+        std::optional<order_request> request;
+        model::time_point requested_at{};
         bool ordered = false;
         model::time_point last_order{};
         bool in_flight = false;
@@ -78,8 +78,9 @@
     void on_event(order_engines_listed const& event,
                   model::time_point now,
                   decisions& out);
-    void
-    on_event(order_wished const& event, model::time_point now, decisions& out);
+    void on_event(order_requested const& event,
+                  model::time_point now,
+                  decisions& out);
     void
     on_event(order_ended const& event, model::time_point now, decisions& out);
     void on_event(order_stop_planned const& event,
@@ -95,8 +96,8 @@
     model::milliseconds load_interval() const;
 
     order_settings m_settings;
-    wake_guard m_guard;
-    model::time_point m_woke{};
+    pause_detector m_pause_detector;
+    model::time_point m_last_pause_end{};
     model::time_point m_confirmed{};
     bool m_stopping = false;
     std::uint64_t m_revision = 0;
--- a/src/fleet/wake_guard.hpp
+++ b/src/fleet/pause_detector.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_FLEET_WAKE_GUARD_HPP
-#define CAPERJUNCTION_FLEET_WAKE_GUARD_HPP
+#ifndef CAPERJUNCTION_FLEET_PAUSE_DETECTOR_HPP
+#define CAPERJUNCTION_FLEET_PAUSE_DETECTOR_HPP
 
 #include "model/time.hpp"
 
@@ -15,18 +15,18 @@
 /// anything leaves; after a long gap that is false until `refreshed`.
 ///
 /// Thread safety: none; each task has its own.
-class wake_guard
+class pause_detector
 {
 public:
     /// \pre limit is above the longest time between two ordinary wake-ups.
-    explicit wake_guard(model::milliseconds limit)
+    explicit pause_detector(model::milliseconds limit)
         : m_limit(limit)
     {
     }
 
     /// Notes a wake-up; true if the gap before it was too long. To be called
     /// first in every wake-up, before any queued message is looked at.
-    bool note_wake(model::time_point now)
+    bool record_wakeup(model::time_point now)
     {
         bool const gap = m_started && now - m_last > m_limit;
         m_started = true;
@@ -41,7 +41,7 @@
         m_outdated = false;
     }
 
-    bool may_act() const
+    bool is_current() const
     {
         return !m_outdated;
     }
--- a/src/fleet/peer_message.hpp
+++ b/src/fleet/peer_message.hpp
@@ -14,19 +14,19 @@
 
 /// Everything that one host says to another.
 using peer_message = std::variant<heartbeat,
-                                  host_rumours,
+                                  membership_updates,
                                   probe,
                                   probe_reply,
                                   config_announce,
                                   config_fetch,
                                   config_value,
                                   load_digest,
-                                  handover_request,
-                                  handover_chunk,
-                                  handover_end,
-                                  handover_cancel,
+                                  hand_over_request,
+                                  hand_over_chunk,
+                                  hand_over_end,
+                                  hand_over_cancel,
                                   claim_message,
-                                  order_wish>;
+                                  order_request>;
 
 } // namespace caperjunction::fleet
 
--- a/src/fleet/rumour_table.hpp
+++ b/src/fleet/update_table.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_FLEET_RUMOUR_TABLE_HPP
-#define CAPERJUNCTION_FLEET_RUMOUR_TABLE_HPP
+#ifndef CAPERJUNCTION_FLEET_UPDATE_TABLE_HPP
+#define CAPERJUNCTION_FLEET_UPDATE_TABLE_HPP
 
 #include "fleet/membership_message.hpp"
 
@@ -15,37 +15,38 @@
 /// and any number of repetitions, ends in the same table everywhere.
 ///
 /// Thread safety: none; owned by one task.
-class rumour_table
+class update_table
 {
 public:
     /// `check_generation` is off only to measure what the check is worth:
     /// then rounds alone decide, and a host's next process inherits what was
     /// said of the last one.
-    explicit rumour_table(bool check_generation)
+    explicit update_table(bool check_generation)
         : m_check_generation(check_generation)
     {
     }
 
     /// Whether `right` outranks `left`.
-    bool is_below(host_rumour const& left, host_rumour const& right) const;
+    bool is_superseded_by(membership_update const& left,
+                          membership_update const& right) const;
 
     /// Takes `rumour` if it outranks what is held; true if it did.
-    bool raise(host_rumour const& rumour);
+    bool merge(membership_update const& update);
 
     /// What is held; generation 0 if nothing is.
-    host_rumour find(std::string const& host) const;
+    membership_update find(std::string const& host) const;
 
     /// Drops every host that `listed` doesn't name.
     template <typename Listed>
-    void keep_only(Listed listed)
+    void retain_only(Listed listed)
     {
-        std::erase_if(m_rumours, [&](auto const& entry) {
+        std::erase_if(m_updates, [&](auto const& entry) {
             return !listed(entry.first);
         });
         rehash();
     }
 
-    std::vector<host_rumour> all() const;
+    std::vector<membership_update> all() const;
 
     /// Equal for equal tables.
     std::uint64_t hash() const
@@ -57,7 +58,7 @@
     void rehash();
 
     bool m_check_generation;
-    std::map<std::string, host_rumour> m_rumours;
+    std::map<std::string, membership_update> m_updates;
     std::uint64_t m_hash = 0;
 };
 
--- a/src/fleet/witness.cpp
+++ b/src/fleet/witness.cpp
@@ -10,7 +10,7 @@
 
 witness::witness(witness_settings settings)
     : m_settings(std::move(settings))
-    , m_guard(m_settings.claims.pause_limit)
+    , m_pause_detector(m_settings.claims.pause_limit)
     , m_buckets(m_settings.claims.buckets)
 {
 }
@@ -21,11 +21,11 @@
 {
     // A process that slept believes a list that may be long gone, and would
     // give votes that others have replaced. It shows as two runs of one key.
-    if (m_guard.note_wake(now)) {
-        m_woke = now;
+    if (m_pause_detector.record_wakeup(now)) {
+        m_last_pause_end = now;
     }
-    m_memory.expire(now);
-    lapse(now);
+    m_claim_table.expire(now);
+    expire_votes(now);
     std::visit(
         [&](auto const& what) {
             on_event(what, now, out);
@@ -37,7 +37,7 @@
                        model::time_point now,
                        messages& out)
 {
-    adopt(event.view, now, out);
+    adopt_view(event.view, now, out);
 }
 
 void witness::on_event(claim_view_confirmed const& event,
@@ -45,8 +45,8 @@
                        messages& /*out*/)
 {
     m_confirmed = std::max(m_confirmed, std::min(event.as_of, now));
-    if (event.as_of >= m_woke) {
-        m_guard.refreshed();
+    if (event.as_of >= m_last_pause_end) {
+        m_pause_detector.refreshed();
     }
 }
 
@@ -57,9 +57,9 @@
     if (auto const* request = std::get_if<claim_request>(&event.message)) {
         on_message(event.from, *request, now, out);
     } else if (auto const* over = std::get_if<claim_release>(&event.message)) {
-        m_memory.erase(over->key, over->attempt);
+        m_claim_table.erase(over->key, over->attempt);
     } else if (auto const* done = std::get_if<claim_done>(&event.message)) {
-        m_memory.finish(done->key, done->attempt);
+        m_claim_table.finish(done->key, done->attempt);
     } else if (auto const* offer = std::get_if<claim_offer>(&event.message)) {
         on_message(event.from, *offer, now, out);
     } else if (auto const* taker = std::get_if<claim_accept>(&event.message)) {
@@ -79,14 +79,14 @@
                        model::time_point now,
                        messages& out)
 {
-    drive_hand_overs(now, out);
+    advance_hand_overs(now, out);
     auto const lease = m_settings.claims.transfer_lease;
-    for (auto intake = m_intakes.begin(); intake != m_intakes.end();) {
+    for (auto intake = m_incoming.begin(); intake != m_incoming.end();) {
         std::erase_if(intake->second.open, [&](auto const& entry) {
             return now - entry.second.accepted > lease;
         });
         bool const old = now - intake->second.used > m_settings.claims.maturity;
-        intake = old ? m_intakes.erase(intake) : std::next(intake);
+        intake = old ? m_incoming.erase(intake) : std::next(intake);
     }
 }
 
@@ -98,7 +98,7 @@
     if (from != request.attempt.host) {
         return;
     }
-    claim_reply reply = consider(request, now);
+    claim_reply reply = evaluate(request, now);
     reply.key = request.key;
     reply.attempt = request.attempt;
     reply.list_revision = m_view == nullptr ? 0 : m_view->revision();
@@ -111,7 +111,8 @@
     if (m_leaving) {
         return claim_refusal::leaving;
     }
-    if (m_view == nullptr || view_lapsed(now) || !m_guard.may_act()) {
+    if (m_view == nullptr || view_expired(now)
+        || !m_pause_detector.is_current()) {
         return claim_refusal::view_outdated;
     }
     auto const bucket = claim_bucket(request.key, m_buckets.size());
@@ -122,7 +123,7 @@
     return claim_refusal::none;
 }
 
-claim_reply witness::consider(claim_request const& request,
+claim_reply witness::evaluate(claim_request const& request,
                               model::time_point now)
 {
     claim_reply reply;
@@ -130,7 +131,7 @@
     if (reply.refusal != claim_refusal::none) {
         return reply;
     }
-    auto const* held = m_memory.find(request.key);
+    auto const* held = m_claim_table.find(request.key);
     // A newer try of the same process: that process gave the older one up
     // before, undispatched, and its release is late or lost.
     bool const superseded =
@@ -147,16 +148,17 @@
         return reply;
     }
     // Full memory refuses; to forget a claim early would allow a second run.
-    if (held == nullptr && m_memory.size() >= m_settings.claims.max_claims) {
+    if (held == nullptr
+        && m_claim_table.size() >= m_settings.claims.max_claims) {
         reply.refusal = claim_refusal::full;
         return reply;
     }
     if (held == nullptr || superseded) {
-        m_memory.put(request.key,
-                     {request.attempt,
-                      request.fingerprint,
-                      claim_state::running,
-                      now + m_settings.claims.horizon});
+        m_claim_table.put(request.key,
+                          {request.attempt,
+                           request.fingerprint,
+                           claim_state::running,
+                           now + m_settings.claims.retention});
     }
     auto const bucket = claim_bucket(request.key, m_buckets.size());
     mature(bucket, now);
@@ -174,16 +176,16 @@
         host.data(), host.size(), m_settings.generation);
 }
 
-bool witness::view_lapsed(model::time_point now) const
+bool witness::view_expired(model::time_point now) const
 {
     return now - m_confirmed > m_settings.claims.view_lease;
 }
 
 // A host that hears no list for that long may be off it. Others give its
 // votes out anew after `maturity`, so it must have none left by then.
-void witness::lapse(model::time_point now)
+void witness::expire_votes(model::time_point now)
 {
-    if (m_view == nullptr || !view_lapsed(now)) {
+    if (m_view == nullptr || !view_expired(now)) {
         return;
     }
     m_hand_overs.clear();
@@ -197,7 +199,7 @@
 {
     auto& state = m_buckets[bucket];
     bool const old = now - state.entered >= m_settings.claims.maturity;
-    if (state.member && !state.vote && old && m_guard.may_act()) {
+    if (state.member && !state.vote && old && m_pause_detector.is_current()) {
         state.vote = true;
         state.origin = origin();
     }
@@ -208,15 +210,16 @@
     append(out, m_settings.generation);
     append(out, m_view == nullptr ? 0 : m_view->revision());
     append_age(out, m_confirmed, now);
-    append(out, (m_guard.may_act() ? 2U : 0U) + (m_leaving ? 1U : 0U));
+    append(out,
+           (m_pause_detector.is_current() ? 2U : 0U) + (m_leaving ? 1U : 0U));
     for (auto const& bucket : m_buckets) {
         append(out, (bucket.member ? 2U : 0U) + (bucket.vote ? 1U : 0U));
         append(out, bucket.vote ? bucket.origin : 0U);
         append(out, bucket.voters);
-        append(out, std::string_view(bucket.seat));
+        append(out, std::string_view(bucket.original_member));
         append_age(out, bucket.vote ? now : bucket.entered, now);
     }
-    m_memory.fingerprint(now, out);
+    m_claim_table.fingerprint(now, out);
     append(out, m_offers);
     for (auto const& [number, hand_over] : m_hand_overs) {
         append(out, number);
@@ -226,12 +229,12 @@
         append(out, hand_over.offers);
         append_age(out, hand_over.started, now);
     }
-    for (auto const& [from, intake] : m_intakes) {
+    for (auto const& [from, intake] : m_incoming) {
         append(out, std::string_view(from.first));
         append(out, from.second);
         append(out, intake.highest);
         for (auto const& [number, offer] : intake.open) {
-            append(out, number * 2 + (offer.taken ? 1 : 0));
+            append(out, number * 2 + (offer.imported ? 1 : 0));
             append_age(out, offer.accepted, now);
         }
     }
--- a/src/fleet/witness.hpp
+++ b/src/fleet/witness.hpp
@@ -3,10 +3,10 @@
 
 #include "fleet/claim_event.hpp"
 #include "fleet/claim_settings.hpp"
+#include "fleet/claim_table.hpp"
 #include "fleet/claim_view.hpp"
-#include "fleet/wake_guard.hpp"
+#include "fleet/pause_detector.hpp"
 #include "fleet/witness_hand_over.hpp"
-#include "fleet/witness_memory.hpp"
 #include "fleet/witness_settings.hpp"
 #include "model/time.hpp"
 
@@ -43,7 +43,7 @@
                 std::vector<claim_send>& out);
 
     /// Whether this host has the vote of a bucket.
-    bool votes(std::size_t bucket) const
+    bool has_vote(std::size_t bucket) const
     {
         return m_buckets[bucket].vote;
     }
@@ -51,12 +51,12 @@
     /// Claims that are remembered.
     std::size_t claims() const
     {
-        return m_memory.size();
+        return m_claim_table.size();
     }
 
     /// Whether all votes that were given away have arrived or are given up;
     /// a planned stop waits for it.
-    bool handed_over() const
+    bool hand_over_complete() const
     {
         return m_hand_overs.empty();
     }
@@ -75,7 +75,7 @@
         /// Stays with the vote wherever it goes.
         std::uint64_t origin = 0;
         /// With a vote but no member: the member whose vote it was.
-        std::string seat;
+        std::string original_member;
         /// Since when it has been a member without a break.
         model::time_point entered{};
     };
@@ -96,7 +96,7 @@
     void on_event(claim_stop_planned const& event,
                   model::time_point now,
                   messages& out);
-    bool keeps_for(std::size_t bucket, claim_view const& view) const;
+    bool holds_vote_for(std::size_t bucket, claim_view const& view) const;
     void
     on_event(claim_tick const& event, model::time_point now, messages& out);
 
@@ -118,40 +118,41 @@
                     messages& out);
 
     std::uint64_t origin() const;
-    bool view_lapsed(model::time_point now) const;
-    void lapse(model::time_point now);
+    bool view_expired(model::time_point now) const;
+    void expire_votes(model::time_point now);
     void mature(std::size_t bucket, model::time_point now);
-    void take_in(std::string const& from,
-                 claim_transfer const& transfer,
-                 model::time_point now);
+    void import_transfer(std::string const& from,
+                         claim_transfer const& transfer,
+                         model::time_point now);
     claim_refusal refusal(claim_request const& request,
                           model::time_point now) const;
-    claim_reply consider(claim_request const& request, model::time_point now);
-    void adopt(std::shared_ptr<claim_view const> view,
-               model::time_point now,
-               messages& out);
+    claim_reply evaluate(claim_request const& request, model::time_point now);
+    void adopt_view(std::shared_ptr<claim_view const> view,
+                    model::time_point now,
+                    messages& out);
     void hand_over(std::map<std::string, std::vector<std::size_t>> const& to,
                    model::time_point now,
                    messages& out);
-    void drive_hand_overs(model::time_point now, messages& out);
-    void offer_elsewhere();
+    void advance_hand_overs(model::time_point now, messages& out);
+    void reassign_unaccepted();
     void split_by_successor(witness_hand_over const& refused);
-    std::string const& seat(std::size_t bucket) const;
+    std::string const& original_member(std::size_t bucket) const;
 
     witness_settings m_settings;
-    wake_guard m_guard;
+    pause_detector m_pause_detector;
     std::shared_ptr<claim_view const> m_view;
     model::time_point m_confirmed{};
-    model::time_point m_woke{};
+    model::time_point m_last_pause_end{};
     bool m_leaving = false;
     std::vector<bucket_state> m_buckets;
-    witness_memory m_memory;
+    claim_table m_claim_table;
     std::uint64_t m_offers = 0;
     std::map<std::uint64_t, witness_hand_over> m_hand_overs;
     /// Hosts that didn't take an offer since this one began to leave.
-    std::set<std::string> m_unwilling;
+    std::set<std::string> m_unresponsive;
     /// By host and generation of the process that offers.
-    std::map<std::pair<std::string, std::uint64_t>, witness_intake> m_intakes;
+    std::map<std::pair<std::string, std::uint64_t>, incoming_hand_over>
+        m_incoming;
 };
 
 } // namespace caperjunction::fleet
--- a/src/fleet/witness_hand_over.hpp
+++ b/src/fleet/witness_hand_over.hpp
@@ -21,18 +21,18 @@
     /// Offers that were not answered.
     std::uint32_t offers = 0;
     /// Whose votes they are, in the order of `transfer.votes`.
-    std::vector<std::string> seats;
+    std::vector<std::string> original_members;
     /// Its `to_generation` is 0 until the offer was accepted.
     claim_transfer transfer;
 };
 
 /// Votes on their way in from one process of one host.
-struct witness_intake
+struct incoming_hand_over
 {
     struct offer
     {
         model::time_point accepted{};
-        bool taken = false;
+        bool imported = false;
     };
 
     /// Offers up to that number are known; a late copy opens none of them
--- a/src/fleet/witness_votes.cpp
+++ b/src/fleet/witness_votes.cpp
@@ -4,9 +4,9 @@
 
 namespace caperjunction::fleet {
 
-void witness::adopt(std::shared_ptr<claim_view const> view,
-                    model::time_point now,
-                    messages& out)
+void witness::adopt_view(std::shared_ptr<claim_view const> view,
+                         model::time_point now,
+                         messages& out)
 {
     // A list that arrives late must not bring old witness sets back.
     if (m_view != nullptr && view->revision() <= m_view->revision()) {
@@ -20,15 +20,16 @@
         auto& state = m_buckets[bucket];
         bool const member =
             !m_leaving && view->is_witness(m_settings.host, bucket);
-        if (state.vote && !member && !keeps_for(bucket, *view)) {
+        if (state.vote && !member && !holds_vote_for(bucket, *view)) {
             // A host that leaves gives its vote to the next in rank, which
             // may not be the one that the next list puts in its place.
-            auto const name = m_view->successor(seat(bucket), bucket, *view);
+            auto const name =
+                m_view->successor(original_member(bucket), bucket, *view);
             to[name].push_back(bucket);
         }
         if (member && !state.member) {
             state.entered = now;
-            state.seat.clear();
+            state.original_member.clear();
         }
         if (member && m_view == nullptr && m_settings.first_fleet) {
             state.vote = true;
@@ -60,7 +61,7 @@
     }
     auto claims = to.empty()
                       ? std::map<std::size_t, std::vector<claim_record>>()
-                      : m_memory.collect(wanted, now);
+                      : m_claim_table.collect(wanted, now);
     for (auto const& [name, buckets] : to) {
         witness_hand_over* part = nullptr;
         for (std::size_t const bucket : buckets) {
@@ -82,25 +83,25 @@
             part->transfer.votes.push_back({static_cast<std::uint32_t>(bucket),
                                             state.voters,
                                             state.origin});
-            part->seats.push_back(seat(bucket));
+            part->original_members.push_back(original_member(bucket));
             part->transfer.claims.insert(
                 part->transfer.claims.end(), records.begin(), records.end());
         }
     }
-    drive_hand_overs(now, out);
+    advance_hand_overs(now, out);
 }
 
 // An offer goes first, so that the votes are bound to one process: a copy
 // that reaches a restarted host would bring a vote back without the claims
 // that it was given for since.
-void witness::drive_hand_overs(model::time_point now, messages& out)
+void witness::advance_hand_overs(model::time_point now, messages& out)
 {
     auto const& timing = m_settings.claims;
     std::erase_if(m_hand_overs, [&](auto const& entry) {
         return now - entry.second.started > timing.transfer_lease;
     });
     if (m_leaving) {
-        offer_elsewhere();
+        reassign_unaccepted();
     }
     for (auto& [number, hand_over] : m_hand_overs) {
         bool const due = hand_over.sent == model::time_point{}
@@ -124,16 +125,17 @@
                          model::time_point now,
                          messages& out)
 {
-    auto& intake = m_intakes[{from, offer.generation}];
+    auto& intake = m_incoming[{from, offer.generation}];
     intake.used = now;
     auto const known = intake.open.find(offer.number);
-    if (known != intake.open.end() && known->second.taken) {
+    if (known != intake.open.end() && known->second.imported) {
         out.push_back(
             {from, claim_transfer_ack{offer.generation, offer.number}});
         return;
     }
     bool const fresh = offer.number > intake.highest;
-    bool const able = !m_leaving && m_guard.may_act() && !view_lapsed(now);
+    bool const able =
+        !m_leaving && m_pause_detector.is_current() && !view_expired(now);
     if (!able || (!fresh && known == intake.open.end())) {
         return;
     }
@@ -178,8 +180,8 @@
     if (transfer.to_generation != m_settings.generation) {
         return;
     }
-    auto const intake = m_intakes.find({from, transfer.generation});
-    if (intake == m_intakes.end()) {
+    auto const intake = m_incoming.find({from, transfer.generation});
+    if (intake == m_incoming.end()) {
         return;
     }
     auto const offer = intake->second.open.find(transfer.number);
@@ -187,35 +189,35 @@
         return;
     }
     auto const age = now - offer->second.accepted;
-    if (!offer->second.taken) {
+    if (!offer->second.imported) {
         if (age > m_settings.claims.transfer_lease || m_leaving
-            || view_lapsed(now)) {
+            || view_expired(now)) {
             return;
         }
-        offer->second.taken = true;
-        take_in(from, transfer, now);
+        offer->second.imported = true;
+        import_transfer(from, transfer, now);
     }
     out.push_back(
         {from, claim_transfer_ack{transfer.generation, transfer.number}});
 }
 
-void witness::take_in(std::string const& from,
-                      claim_transfer const& transfer,
-                      model::time_point now)
+void witness::import_transfer(std::string const& from,
+                              claim_transfer const& transfer,
+                              model::time_point now)
 {
     for (auto const& record : transfer.claims) {
         auto const bucket = claim_bucket(record.key, m_buckets.size());
-        auto const* own = m_memory.find(record.key);
+        auto const* own = m_claim_table.find(record.key);
         // What the vote was given for goes before what was stored here
         // without one; with two votes, one of them ends here anyway.
         if (own != nullptr && m_buckets[bucket].vote) {
             continue;
         }
-        m_memory.put(record.key,
-                     {record.attempt,
-                      record.fingerprint,
-                      record.state,
-                      now + record.remaining});
+        m_claim_table.put(record.key,
+                          {record.attempt,
+                           record.fingerprint,
+                           record.state,
+                           now + record.remaining});
     }
     for (auto const& vote : transfer.votes) {
         if (vote.bucket >= m_buckets.size()) {
@@ -226,7 +228,7 @@
         if (!state.vote) {
             state.vote = true;
             state.origin = vote.origin;
-            state.seat = state.member ? std::string() : from;
+            state.original_member = state.member ? std::string() : from;
         }
     }
 }
--- a/src/net/hand_over.cpp
+++ b/src/net/hand_over.cpp
@@ -11,7 +11,7 @@
 namespace caperjunction::net {
 namespace {
 
-std::string field_of(fleet::handover_request const& request,
+std::string field_of(fleet::hand_over_request const& request,
                      std::string const& name)
 {
     for (fleet::header_field const& field : request.headers) {
@@ -22,7 +22,7 @@
     return "";
 }
 
-reply_mode mode_of(fleet::handover_request const& request)
+reply_mode mode_of(fleet::hand_over_request const& request)
 {
     std::string const name = field_of(request, "mode");
     if (name == "events") {
@@ -60,11 +60,11 @@
 
 } // namespace
 
-fleet::handover_request pack(exchange const& held, model::time_point now)
+fleet::hand_over_request pack(exchange const& held, model::time_point now)
 {
     using std::chrono::duration_cast;
     decide::request const& request = held.request;
-    fleet::handover_request packed;
+    fleet::hand_over_request packed;
     packed.id = request.id;
     packed.method = held.method;
     packed.path = held.path;
@@ -83,7 +83,7 @@
     return packed;
 }
 
-std::unique_ptr<exchange> unpack(fleet::handover_request const& packed,
+std::unique_ptr<exchange> unpack(fleet::hand_over_request const& packed,
                                  model::time_point now)
 {
     auto made = std::make_unique<exchange>();
--- a/src/net/hand_over.hpp
+++ b/src/net/hand_over.hpp
@@ -11,12 +11,12 @@
 
 /// The request of an exchange for another host. Who the caller is has been
 /// checked here; its key stays here.
-fleet::handover_request pack(exchange const& held, model::time_point now);
+fleet::hand_over_request pack(exchange const& held, model::time_point now);
 
 /// An exchange for a request that another host handed over.
 ///
 /// \throws model::error (bad_request) if it is not what `pack` makes.
-std::unique_ptr<exchange> unpack(fleet::handover_request const& request,
+std::unique_ptr<exchange> unpack(fleet::hand_over_request const& request,
                                  model::time_point now);
 
 } // namespace caperjunction::net
--- a/src/net/peer_read.cpp
+++ b/src/net/peer_read.cpp
@@ -32,10 +32,10 @@
     return told;
 }
 
-std::vector<fleet::host_rumour>
+std::vector<fleet::membership_update>
 rumours(flatbuffers::Vector<flatbuffers::Offset<wire::Rumour>> const* tables)
 {
-    std::vector<fleet::host_rumour> values;
+    std::vector<fleet::membership_update> values;
     if (tables == nullptr) {
         return values;
     }
@@ -45,7 +45,7 @@
                           table->generation(),
                           table->round(),
                           enumerator(table->kind(),
-                                     fleet::rumour_kind::leaving,
+                                     fleet::update_kind::leaving,
                                      "kind of rumour")});
     }
     return values;
@@ -70,7 +70,7 @@
     value.generation = table.generation();
     value.leaving = table.leaving();
     value.expects_reply = table.expects_reply();
-    value.rumours_hash = table.rumours_hash();
+    value.updates_hash = table.rumours_hash();
     value.configuration = announced(table);
     return value;
 }
@@ -82,7 +82,7 @@
     value.generation = table.generation();
     value.leaving = table.leaving();
     value.configuration = announced(table);
-    value.rumours = rumours(table.rumours());
+    value.updates = rumours(table.rumours());
     return value;
 }
 
@@ -100,17 +100,17 @@
         return value;
     }
     for (wire::Splice const* const change : *table.splices()) {
-        value.splices.push_back({change->revision(),
-                                 change->offset(),
-                                 change->removed(),
-                                 text(change->inserted())});
+        value.deltas.push_back({change->revision(),
+                                change->offset(),
+                                change->removed(),
+                                text(change->inserted())});
     }
     return value;
 }
 
 fleet::peer_message take(wire::HandoverRequest const& table)
 {
-    fleet::handover_request value;
+    fleet::hand_over_request value;
     value.id = {table.id()};
     value.method = text(table.method());
     value.path = text(table.path());
@@ -123,10 +123,10 @@
 
 fleet::peer_message take(wire::HandoverEnd const& table)
 {
-    fleet::handover_end value;
+    fleet::hand_over_end value;
     value.id = {table.id()};
     value.result = enumerator(table.result(),
-                              fleet::handover_result::broken,
+                              fleet::hand_over_result::broken,
                               "result of a hand-over");
     value.outcome =
         enumerator(table.outcome(), model::outcome::unknown, "outcome");
@@ -141,18 +141,18 @@
         return take(*frame.body_as_HandoverRequest());
     case wire::Body::HandoverChunk: {
         auto const& table = *frame.body_as_HandoverChunk();
-        return fleet::handover_chunk{{table.id()},
-                                     table.status(),
-                                     fields(table.headers()),
-                                     text(table.bytes())};
+        return fleet::hand_over_chunk{{table.id()},
+                                      table.status(),
+                                      fields(table.headers()),
+                                      text(table.bytes())};
     }
     case wire::Body::HandoverEnd:
         return take(*frame.body_as_HandoverEnd());
     case wire::Body::HandoverCancel:
-        return fleet::handover_cancel{{frame.body_as_HandoverCancel()->id()}};
+        return fleet::hand_over_cancel{{frame.body_as_HandoverCancel()->id()}};
     case wire::Body::OrderWish: {
         auto const& table = *frame.body_as_OrderWish();
-        return fleet::order_wish{text(table.engine()), text(table.model())};
+        return fleet::order_request{text(table.engine()), text(table.model())};
     }
     default:
         return claim_message(frame);
@@ -195,7 +195,8 @@
     case wire::Body::Heartbeat:
         return take(*frame.body_as_Heartbeat());
     case wire::Body::Rumours:
-        return fleet::host_rumours{rumours(frame.body_as_Rumours()->rumours())};
+        return fleet::membership_updates{
+            rumours(frame.body_as_Rumours()->rumours())};
     case wire::Body::Probe:
         return fleet::probe{frame.body_as_Probe()->number()};
     case wire::Body::ProbeReply:
--- a/src/net/peer_write.cpp
+++ b/src/net/peer_write.cpp
@@ -62,16 +62,16 @@
 }
 
 peer_writer::tables_offset<wire::Rumour>
-peer_writer::rumours(std::vector<fleet::host_rumour> const& values)
+peer_writer::rumours(std::vector<fleet::membership_update> const& values)
 {
     std::vector<flatbuffers::Offset<wire::Rumour>> tables;
     tables.reserve(values.size());
-    for (fleet::host_rumour const& value : values) {
+    for (fleet::membership_update const& value : values) {
         tables.push_back(
             wire::CreateRumour(m_builder,
                                text(value.host),
                                value.generation,
-                               value.round,
+                               value.suspicion_count,
                                static_cast<std::uint8_t>(value.kind)));
     }
     return m_builder.CreateVector(tables);
@@ -136,14 +136,14 @@
                                         message.generation,
                                         message.leaving,
                                         message.expects_reply,
-                                        message.rumours_hash,
+                                        message.updates_hash,
                                         &told.latest,
                                         told.in_force_or_null()));
 }
 
-written_body peer_writer::operator()(fleet::host_rumours const& message)
+written_body peer_writer::operator()(fleet::membership_updates const& message)
 {
-    auto const tables = rumours(message.rumours);
+    auto const tables = rumours(message.updates);
     return finish(wire::Body::Rumours, wire::CreateRumours(m_builder, tables));
 }
 
@@ -156,7 +156,7 @@
 written_body peer_writer::operator()(fleet::probe_reply const& message)
 {
     wire_announce const told(message.configuration);
-    auto const tables = rumours(message.rumours);
+    auto const tables = rumours(message.updates);
     return finish(wire::Body::ProbeReply,
                   wire::CreateProbeReply(m_builder,
                                          message.number,
@@ -186,8 +186,8 @@
 written_body peer_writer::operator()(fleet::config_value const& message)
 {
     std::vector<flatbuffers::Offset<wire::Splice>> tables;
-    tables.reserve(message.splices.size());
-    for (fleet::splice const& change : message.splices) {
+    tables.reserve(message.deltas.size());
+    for (fleet::delta const& change : message.deltas) {
         auto const inserted = text(change.inserted);
         tables.push_back(wire::CreateSplice(m_builder,
                                             change.revision,
@@ -219,7 +219,7 @@
             m_builder, host, message.sequence, message.hops_left, load));
 }
 
-written_body peer_writer::operator()(fleet::handover_request const& message)
+written_body peer_writer::operator()(fleet::hand_over_request const& message)
 {
     auto const method = text(message.method);
     auto const path = text(message.path);
@@ -232,7 +232,7 @@
             m_builder, message.id.value, method, path, headers, body, waited));
 }
 
-written_body peer_writer::operator()(fleet::handover_chunk const& message)
+written_body peer_writer::operator()(fleet::hand_over_chunk const& message)
 {
     auto const headers = fields(message.headers);
     auto const part = bytes(message.bytes);
@@ -242,7 +242,7 @@
             m_builder, message.id.value, message.status, headers, part));
 }
 
-written_body peer_writer::operator()(fleet::handover_end const& message)
+written_body peer_writer::operator()(fleet::hand_over_end const& message)
 {
     auto const reason = text(message.reason);
     return finish(
@@ -254,7 +254,7 @@
                                 reason));
 }
 
-written_body peer_writer::operator()(fleet::order_wish const& message)
+written_body peer_writer::operator()(fleet::order_request const& message)
 {
     auto const engine = text(message.engine);
     auto const model = text(message.model);
@@ -262,7 +262,7 @@
                   wire::CreateOrderWish(m_builder, engine, model));
 }
 
-written_body peer_writer::operator()(fleet::handover_cancel const& message)
+written_body peer_writer::operator()(fleet::hand_over_cancel const& message)
 {
     return finish(wire::Body::HandoverCancel,
                   wire::CreateHandoverCancel(m_builder, message.id.value));
--- a/src/net/peer_write.hpp
+++ b/src/net/peer_write.hpp
@@ -37,18 +37,18 @@
     written_body operator()(peer_pong const& message);
     written_body operator()(fleet::peer_message const& message);
     written_body operator()(fleet::heartbeat const& message);
-    written_body operator()(fleet::host_rumours const& message);
+    written_body operator()(fleet::membership_updates const& message);
     written_body operator()(fleet::probe const& message);
     written_body operator()(fleet::probe_reply const& message);
     written_body operator()(fleet::config_announce const& message);
     written_body operator()(fleet::config_fetch const& message);
     written_body operator()(fleet::config_value const& message);
     written_body operator()(fleet::load_digest const& message);
-    written_body operator()(fleet::handover_request const& message);
-    written_body operator()(fleet::handover_chunk const& message);
-    written_body operator()(fleet::handover_end const& message);
-    written_body operator()(fleet::handover_cancel const& message);
-    written_body operator()(fleet::order_wish const& message);
+    written_body operator()(fleet::hand_over_request const& message);
+    written_body operator()(fleet::hand_over_chunk const& message);
+    written_body operator()(fleet::hand_over_end const& message);
+    written_body operator()(fleet::hand_over_cancel const& message);
+    written_body operator()(fleet::order_request const& message);
 
     // peer_write_claims.cpp
     written_body operator()(fleet::claim_message const& message);
@@ -75,7 +75,7 @@
     bytes_offset bytes(std::string_view value);
     bytes_offset bytes(std::vector<std::uint8_t> const& value);
     tables_offset<wire::Rumour>
-    rumours(std::vector<fleet::host_rumour> const& values);
+    rumours(std::vector<fleet::membership_update> const& values);
     tables_offset<wire::Field>
     fields(std::vector<fleet::header_field> const& values);
     flatbuffers::Offset<wire::Attempt>
--- a/src/net/relay.cpp
+++ b/src/net/relay.cpp
@@ -219,7 +219,7 @@
     if (give_back) {
         report(hand_over_over{
             held->from_host,
-            {no.id, fleet::handover_result::refused, no.outcome, no.reason}});
+            {no.id, fleet::hand_over_result::refused, no.outcome, no.reason}});
     } else if (held->caller && held->begun) {
         held->caller->events(
             fmt::format("data: {}\n\n{}",
--- a/src/net/relay.hpp
+++ b/src/net/relay.hpp
@@ -87,7 +87,7 @@
     caller_sink make_peer_sink(std::string const& host, model::request_id id);
     void take(take_part const& part);
     void take(take_end const& end);
-    void take_broken_end(exchange& held, fleet::handover_end const& end);
+    void take_broken_end(exchange& held, fleet::hand_over_end const& end);
     void cancel(cancel_handed_over const& cancel);
     void lose(lose_host const& lost);
 
--- a/src/net/relay_hand_over.cpp
+++ b/src/net/relay_hand_over.cpp
@@ -55,7 +55,7 @@
     }
     report(hand_over_over{given.from,
                           {id,
-                           fleet::handover_result::refused,
+                           fleet::hand_over_result::refused,
                            model::outcome::not_run,
                            "host_full"}});
 }
@@ -64,7 +64,7 @@
 {
     caller_sink sink;
     sink.whole = [this, host, id](whole_answer const& answer) {
-        fleet::handover_chunk chunk;
+        fleet::hand_over_chunk chunk;
         chunk.id = id;
         chunk.status = static_cast<std::uint16_t>(answer.status);
         chunk.headers = {{"content-type", std::string(answer.content_type)}};
@@ -72,24 +72,24 @@
         report(hand_over_part{host, std::move(chunk)});
         report(hand_over_over{
             host,
-            {id, fleet::handover_result::complete, answer.facts.outcome, ""}});
+            {id, fleet::hand_over_result::complete, answer.facts.outcome, ""}});
     };
     sink.begin = [this, host](model::request_id begun) {
-        fleet::handover_chunk chunk;
+        fleet::hand_over_chunk chunk;
         chunk.id = begun;
         chunk.status = 200;
         chunk.headers = {{"content-type", std::string(event_stream)}};
         report(hand_over_part{host, std::move(chunk)});
     };
     sink.events = [this, host, id](std::string_view events) {
-        fleet::handover_chunk chunk;
+        fleet::hand_over_chunk chunk;
         chunk.id = id;
         chunk.bytes = std::string(events);
         report(hand_over_part{host, std::move(chunk)});
     };
     sink.end = [this, host, id](model::outcome outcome) {
         report(hand_over_over{
-            host, {id, fleet::handover_result::complete, outcome, ""}});
+            host, {id, fleet::hand_over_result::complete, outcome, ""}});
     };
     sink.unsent = [] {
         return std::size_t{0};
@@ -123,7 +123,7 @@
     if (held == nullptr || held->to_host != end.from) {
         return;
     }
-    if (end.end.result != fleet::handover_result::complete) {
+    if (end.end.result != fleet::hand_over_result::complete) {
         take_broken_end(*held, end.end);
         return;
     }
@@ -140,7 +140,7 @@
     finish(*held, end.end.outcome, "");
 }
 
-void relay::take_broken_end(exchange& held, fleet::handover_end const& end)
+void relay::take_broken_end(exchange& held, fleet::hand_over_end const& end)
 {
     std::string const host = std::exchange(held.to_host, "");
     held.collected.clear();
@@ -182,7 +182,7 @@
     for (model::request_id const id : served_there) {
         take_broken_end(*find(id),
                         {id,
-                         fleet::handover_result::broken,
+                         fleet::hand_over_result::broken,
                          model::outcome::unknown,
                          "host_lost"});
     }
--- a/src/net/relay_message.hpp
+++ b/src/net/relay_message.hpp
@@ -45,21 +45,21 @@
 struct serve_handed_over
 {
     std::string from;
-    fleet::handover_request request;
+    fleet::hand_over_request request;
 };
 
 /// Part of an answer that another host gives for this one.
 struct take_part
 {
     std::string from;
-    fleet::handover_chunk chunk;
+    fleet::hand_over_chunk chunk;
 };
 
 /// The end of such an answer.
 struct take_end
 {
     std::string from;
-    fleet::handover_end end;
+    fleet::hand_over_end end;
 };
 
 /// The other host's caller hung up.
--- a/src/net/relay_report.hpp
+++ b/src/net/relay_report.hpp
@@ -48,7 +48,7 @@
 struct hand_over_wanted
 {
     std::string host;
-    fleet::handover_request request;
+    fleet::hand_over_request request;
 };
 
 /// The caller of a handed-over request hung up.
@@ -62,14 +62,14 @@
 struct hand_over_part
 {
     std::string host;
-    fleet::handover_chunk chunk;
+    fleet::hand_over_chunk chunk;
 };
 
 /// The end of such an answer.
 struct hand_over_over
 {
     std::string host;
-    fleet::handover_end end;
+    fleet::hand_over_end end;
 };
 
 /// The relay has stopped accepting and its last answer is out.
--- a/src/program/bookings.cpp
+++ b/src/program/bookings.cpp
@@ -38,7 +38,7 @@
     , m_hooks(std::move(hooks))
     , m_claimant(m_settings.host, m_settings.generation, m_settings.claims)
     , m_witness(witness_settings_of(m_settings))
-    , m_answers(m_settings.answer_bytes, m_settings.claims.horizon)
+    , m_answers(m_settings.answer_bytes, m_settings.claims.retention)
 {
 }
 
--- a/src/program/bookings.hpp
+++ b/src/program/bookings.hpp
@@ -83,7 +83,7 @@
     /// At a planned stop: whether all votes have found a new host.
     bool handed_over() const
     {
-        return m_witness.handed_over();
+        return m_witness.hand_over_complete();
     }
 
     std::size_t claims() const
--- a/src/program/control.cpp
+++ b/src/program/control.cpp
@@ -51,7 +51,7 @@
     , m_orders(loop,
                settings.host_name,
                m_generation,
-               [this](std::string const& to, fleet::order_wish const& wish) {
+               [this](std::string const& to, fleet::order_request const& wish) {
                    m_node.send(to, wish);
                })
     , m_engines(loop)
@@ -195,7 +195,7 @@
         m_node.send(over->host, over->end);
     } else if (auto const* no =
                    std::get_if<net::hand_over_cancelled>(&report)) {
-        m_node.send(no->host, fleet::handover_cancel{no->id});
+        m_node.send(no->host, fleet::hand_over_cancel{no->id});
     } else {
         m_relay_idle = true;
     }
--- a/src/program/control_peers.cpp
+++ b/src/program/control_peers.cpp
@@ -23,16 +23,17 @@
     if (auto const* claim = std::get_if<fleet::claim_message>(&message)) {
         m_bookings.receive(from, *claim, m_loop.now());
     } else if (auto const* give =
-                   std::get_if<fleet::handover_request>(&message)) {
+                   std::get_if<fleet::hand_over_request>(&message)) {
         m_to_relay(net::serve_handed_over{from, *give});
     } else if (auto const* part =
-                   std::get_if<fleet::handover_chunk>(&message)) {
+                   std::get_if<fleet::hand_over_chunk>(&message)) {
         m_to_relay(net::take_part{from, *part});
-    } else if (auto const* end = std::get_if<fleet::handover_end>(&message)) {
+    } else if (auto const* end = std::get_if<fleet::hand_over_end>(&message)) {
         m_to_relay(net::take_end{from, *end});
-    } else if (auto const* wish = std::get_if<fleet::order_wish>(&message)) {
+    } else if (auto const* wish = std::get_if<fleet::order_request>(&message)) {
         m_orders.wish(*wish, true);
-    } else if (auto const* no = std::get_if<fleet::handover_cancel>(&message)) {
+    } else if (auto const* no =
+                   std::get_if<fleet::hand_over_cancel>(&message)) {
         m_to_relay(net::cancel_handed_over{from, no->id});
     }
 }
--- a/src/program/engine_orders.cpp
+++ b/src/program/engine_orders.cpp
@@ -25,8 +25,8 @@
 net::upstream_timeouts order_timeouts()
 {
     net::upstream_timeouts timeouts;
-    timeouts.first_byte = fleet::order_settings{}.flight;
-    timeouts.progress = fleet::order_settings{}.flight;
+    timeouts.first_byte = fleet::order_settings{}.delivery_timeout;
+    timeouts.progress = fleet::order_settings{}.delivery_timeout;
     return timeouts;
 }
 
@@ -132,9 +132,9 @@
     tell(listed);
 }
 
-void engine_orders::wish(fleet::order_wish const& wish, bool forwarded)
+void engine_orders::wish(fleet::order_request const& wish, bool forwarded)
 {
-    tell(fleet::order_wished{wish, forwarded});
+    tell(fleet::order_requested{wish, forwarded});
 }
 
 void engine_orders::tick()
@@ -152,8 +152,8 @@
     std::vector<fleet::order_decision> decisions;
     m_orderer.handle(event, m_loop.now(), decisions);
     for (fleet::order_decision const& made : decisions) {
-        if (auto const* on = std::get_if<fleet::order_wish_forward>(&made)) {
-            m_forward(on->to, on->wish);
+        if (auto const* on = std::get_if<fleet::order_request_forward>(&made)) {
+            m_forward(on->to, on->request);
         } else if (auto const* go = std::get_if<fleet::order_send>(&made)) {
             send(go->order);
         }
--- a/src/program/engine_orders.hpp
+++ b/src/program/engine_orders.hpp
@@ -25,7 +25,7 @@
 public:
     /// Passes a wish to the host that orders the engine.
     using forward_hook =
-        std::function<void(std::string const& to, fleet::order_wish const&)>;
+        std::function<void(std::string const& to, fleet::order_request const&)>;
 
     engine_orders(runtime::event_loop& loop,
                   std::string const& host,
@@ -39,7 +39,7 @@
     /// What an engine itself says of the models that it serves.
     void report(decide::engine_report const& report);
 
-    void wish(fleet::order_wish const& wish, bool forwarded);
+    void wish(fleet::order_request const& wish, bool forwarded);
     void tick();
     void plan_stop();
 
--- a/src/program/fleet_node.cpp
+++ b/src/program/fleet_node.cpp
@@ -144,7 +144,7 @@
 
 void fleet_node::publish_digest(std::vector<std::uint8_t> bytes)
 {
-    tell(fleet::digest_made{std::move(bytes)});
+    tell(fleet::digest_updated{std::move(bytes)});
 }
 
 void fleet_node::plan_stop()
@@ -185,11 +185,11 @@
 {
     bool const others =
         std::holds_alternative<fleet::claim_message>(message)
-        || std::holds_alternative<fleet::handover_request>(message)
-        || std::holds_alternative<fleet::handover_chunk>(message)
-        || std::holds_alternative<fleet::handover_end>(message)
-        || std::holds_alternative<fleet::handover_cancel>(message)
-        || std::holds_alternative<fleet::order_wish>(message);
+        || std::holds_alternative<fleet::hand_over_request>(message)
+        || std::holds_alternative<fleet::hand_over_chunk>(message)
+        || std::holds_alternative<fleet::hand_over_end>(message)
+        || std::holds_alternative<fleet::hand_over_cancel>(message)
+        || std::holds_alternative<fleet::order_request>(message);
     if (others) {
         message_received.emit(from, message);
     } else {
--- a/src/program/fleet_node.hpp
+++ b/src/program/fleet_node.hpp
@@ -55,7 +55,7 @@
     /// False after a pause, until the view has been refreshed.
     bool fresh() const
     {
-        return m_agent.fresh();
+        return m_agent.is_view_current();
     }
 
     std::shared_ptr<fleet::host_view const> view() const
--- a/tests/fleet/claim_ablation_test.cpp
+++ b/tests/fleet/claim_ablation_test.cpp
@@ -10,11 +10,11 @@
 fleet::claim_settings short_settings()
 {
     fleet::claim_settings settings;
-    settings.horizon = 60s;
+    settings.retention = 60s;
     settings.view_lease = 40s;
     settings.grant_lease = 10s;
     settings.transfer_lease = 2s;
-    settings.maturity = settings.least_maturity();
+    settings.maturity = settings.min_maturity();
     return settings;
 }
 
--- a/tests/fleet/claim_fleet.hpp
+++ b/tests/fleet/claim_fleet.hpp
@@ -229,7 +229,7 @@
         auto const bucket = fleet::claim_bucket(key(), m_settings.buckets);
         std::size_t count = 0;
         for (auto const& [name, one] : m_hosts) {
-            count += one.witness.votes(bucket) ? 1 : 0;
+            count += one.witness.has_vote(bucket) ? 1 : 0;
         }
         return count;
     }
--- a/tests/fleet/claim_fleet_test.cpp
+++ b/tests/fleet/claim_fleet_test.cpp
@@ -107,9 +107,9 @@
     // claim of before has lapsed, and run again then.
     fleet::claim_settings settings;
     settings.view_lease = 20s;
-    settings.horizon = 30s;
+    settings.retention = 30s;
     settings.transfer_lease = 2s;
-    settings.maturity = settings.least_maturity();
+    settings.maturity = settings.min_maturity();
     claim_fleet hosts(7, settings);
     CHECK(hosts.book("host-0"));
     for (auto const& name : hosts.names()) {
@@ -290,9 +290,9 @@
     // its votes are given out anew elsewhere.
     fleet::claim_settings settings;
     settings.view_lease = 20s;
-    settings.horizon = 30s;
+    settings.retention = 30s;
     settings.transfer_lease = 2s;
-    settings.maturity = settings.least_maturity();
+    settings.maturity = settings.min_maturity();
     claim_fleet hosts(7, settings);
     auto const alone = hosts.witnesses().front();
     hosts.asleep.insert(alone);
--- a/tests/fleet/claim_history_test.cpp
+++ b/tests/fleet/claim_history_test.cpp
@@ -18,11 +18,11 @@
 {
     fleet::claim_settings settings;
     settings.buckets = 1;
-    settings.horizon = 60s;
+    settings.retention = 60s;
     settings.view_lease = 40s;
     settings.grant_lease = 10s;
     settings.transfer_lease = 2s;
-    settings.maturity = settings.least_maturity();
+    settings.maturity = settings.min_maturity();
     return settings;
 }
 
@@ -148,7 +148,7 @@
     bool ran_lately() const
     {
         auto const promise =
-            short_settings().horizon - short_settings().grant_lease;
+            short_settings().retention - short_settings().grant_lease;
         return !m_ran.empty() && m_fleet.now - m_ran.back() < promise;
     }
 
--- a/tests/fleet/claim_parts_test.cpp
+++ b/tests/fleet/claim_parts_test.cpp
@@ -1,6 +1,6 @@
 #include "fleet/claim_answers.hpp"
+#include "fleet/claim_table.hpp"
 #include "fleet/rendezvous.hpp"
-#include "fleet/witness_memory.hpp"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -53,7 +53,7 @@
 
 TEST_CASE("a claim is forgotten at its time, not before")
 {
-    fleet::witness_memory memory;
+    fleet::claim_table memory;
     memory.put({0, 1},
                {attempt(1), 7, fleet::claim_state::running, start + 9s});
     memory.expire(start + 8s);
--- a/tests/fleet/claim_settings_test.cpp
+++ b/tests/fleet/claim_settings_test.cpp
@@ -7,7 +7,7 @@
 TEST_CASE("the default times of claims keep each other's promises")
 {
     fleet::claim_settings const settings;
-    CHECK(settings.maturity >= settings.least_maturity());
-    CHECK(settings.grant_lease < settings.horizon / 2);
+    CHECK(settings.maturity >= settings.min_maturity());
+    CHECK(settings.grant_lease < settings.retention / 2);
     CHECK(settings.claim_timeout < settings.grant_lease);
 }
--- a/tests/fleet/configuration_test.cpp
+++ b/tests/fleet/configuration_test.cpp
@@ -1,8 +1,8 @@
 #include "tests/fleet/fleet_fixture.hpp"
 
 #include "fleet/configuration.hpp"
+#include "fleet/delta_chain.hpp"
 #include "fleet/hashing.hpp"
-#include "fleet/splice_chain.hpp"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -256,29 +256,29 @@
     third.body = std::make_shared<std::string const>("third pair 1");
     third.hash = fleet::hash_text(*third.body);
     values.handle(fleet::message_received{"a2", third}, now, out);
-    CHECK(values.announce().in_force[published_value::plans] == 3);
+    CHECK(values.announcement().in_force[published_value::plans] == 3);
     read(published_value::plans, 6, "sixth pair 1");
-    CHECK(values.announce().in_force[published_value::plans] == 6);
+    CHECK(values.announcement().in_force[published_value::plans] == 6);
     read(published_value::plans, 7, "bad pair 1");
-    CHECK(values.announce().in_force[published_value::plans] == 6);
+    CHECK(values.announcement().in_force[published_value::plans] == 6);
 }
 
 TEST_CASE("splices rebuild any body from any earlier one")
 {
     CHECK(rc::check("splices lead from each revision to the last", [] {
         auto const bodies = *rc::gen::nonEmpty<std::vector<std::string>>();
-        fleet::splice_chain chain;
+        fleet::delta_chain chain;
         chain.append(1, {}, 1U << 20U);
         for (std::size_t place = 1; place < bodies.size(); ++place) {
             auto const change =
-                fleet::make_splice(bodies[place - 1], bodies[place], place + 1);
+                fleet::make_delta(bodies[place - 1], bodies[place], place + 1);
             chain.append(place, {change}, 1U << 20U);
         }
         for (std::size_t place = 0; place + 1 < bodies.size(); ++place) {
-            auto const splices = chain.since(place + 1, 1U << 20U);
-            RC_ASSERT(splices.has_value());
+            auto const deltas = chain.since(place + 1, 1U << 20U);
+            RC_ASSERT(deltas.has_value());
             std::string body = bodies[place];
-            RC_ASSERT(fleet::apply_splices(*splices, body));
+            RC_ASSERT(fleet::apply_deltas(*deltas, body));
             RC_ASSERT(body == bodies.back());
         }
     }));
--- a/tests/fleet/explorer_test.cpp
+++ b/tests/fleet/explorer_test.cpp
@@ -77,7 +77,7 @@
     // for the one before to notice.
     order_scenario fixed;
     fixed.settings.loads_per_minute = 1e6;
-    fixed.settings.quiet = fixed.settings.quiet.zero();
+    fixed.settings.takeover_delay = fixed.settings.takeover_delay.zero();
     auto limits = short_search();
     limits.max_states = 100'000;
     auto const result = search_orders(fixed, order_budget(true), limits);
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -16,7 +16,7 @@
     for (std::string const& name : seven) {
         CHECK(fleet->host(name).agent->view()->live().size() == 7);
         CHECK(fleet->host(name).agent->ready());
-        CHECK(fleet->host(name).agent->fresh());
+        CHECK(fleet->host(name).agent->is_view_current());
     }
 }
 
@@ -58,7 +58,7 @@
     bench::virtual_fleet_settings settings;
     settings.agent.membership.heartbeat_period = 1'000ms;
     settings.agent.membership.silence_limit = 4'000ms;
-    settings.agent.membership.refute_time = 300ms;
+    settings.agent.membership.suspicion_timeout = 300ms;
     auto const fleet = make_seven(settings);
     fleet->cut("b1", "a1");
     for (std::string const& name : seven) {
@@ -118,9 +118,9 @@
     fleet->crash("b3");
     fleet->run_for(10s);
     fleet->resume("a2");
-    CHECK_FALSE(fleet->host("a2").agent->fresh());
+    CHECK_FALSE(fleet->host("a2").agent->is_view_current());
     fleet->run_for(2s);
-    CHECK(fleet->host("a2").agent->fresh());
+    CHECK(fleet->host("a2").agent->is_view_current());
     CHECK(state_at(*fleet, "a2", "b3") == fleet::host_state::lost);
     fleet->run_for(5s);
     CHECK(state_at(*fleet, "b1", "a2") == fleet::host_state::alive);
@@ -187,10 +187,11 @@
     std::vector<fleet::agent_output> out;
     model::time_point now{std::chrono::hours(1)};
     member.handle(fleet::hosts_listed{list}, now, out);
-    fleet::host_rumour earlier{"a1", 500, 0, fleet::rumour_kind::leaving};
-    member.handle(fleet::message_received{"a2", fleet::host_rumours{{earlier}}},
-                  now,
-                  out);
+    fleet::membership_update earlier{"a1", 500, 0, fleet::update_kind::leaving};
+    member.handle(
+        fleet::message_received{"a2", fleet::membership_updates{{earlier}}},
+        now,
+        out);
     out.clear();
     member.handle(fleet::agent_tick{}, now, out);
     bool outgrown = false;
--- a/tests/fleet/order_test.cpp
+++ b/tests/fleet/order_test.cpp
@@ -91,7 +91,7 @@
     return nullptr;
 }
 
-fleet::order_wished wish(std::string const& model)
+fleet::order_requested request(std::string const& model)
 {
     return {{"engine", model}, false};
 }
@@ -104,19 +104,19 @@
     host b("b", 2);
     a.list(1, {"a", "b"}, true);
     b.list(1, {"a", "b"}, true);
-    CHECK(a.orderer.orders("engine") != b.orderer.orders("engine"));
-    host& mine = a.orderer.orders("engine") ? a : b;
-    host& other = a.orderer.orders("engine") ? b : a;
-    auto const forwarded = other.tell(wish("draft"));
+    CHECK(a.orderer.is_owner("engine") != b.orderer.is_owner("engine"));
+    host& mine = a.orderer.is_owner("engine") ? a : b;
+    host& other = a.orderer.is_owner("engine") ? b : a;
+    auto const forwarded = other.tell(request("draft"));
     REQUIRE(forwarded.size() == 1);
-    CHECK(std::get<fleet::order_wish_forward>(forwarded[0]).to
+    CHECK(std::get<fleet::order_request_forward>(forwarded[0]).to
           == (&mine == &a ? "a" : "b"));
     mine.pass(1s);
-    auto const out = mine.tell(wish("draft"));
+    auto const out = mine.tell(request("draft"));
     auto const* order = sent(out);
     REQUIRE(order != nullptr);
     CHECK(order->number == fleet::fencing_number{1, &mine == &a ? 1U : 2U});
-    CHECK(sent(mine.tell(wish("draft"))) == nullptr);
+    CHECK(sent(mine.tell(request("draft"))) == nullptr);
 }
 
 TEST_CASE("two hosts order an engine that checks fencing numbers")
@@ -128,12 +128,12 @@
     host old("a", 1);
     old.list(1, {"a"}, true);
     old.pass(1s);
-    old.tell(wish("old"));
+    old.tell(request("old"));
     host next("b", 2);
     next.list(2, {"b"}, true);
     next.now = old.now;
     next.pass(1s);
-    auto const out = next.tell(wish("new"));
+    auto const out = next.tell(request("new"));
     REQUIRE(sent(out) != nullptr);
     CHECK(engine.take(*sent(out)) == fleet::order_end::done);
     fleet::order const late{"engine", "old", {1, 1}};
@@ -151,13 +151,13 @@
     old.list(1, {"a"}, false);
     old.pass(31s);
     fleet::order const late{"engine", "old", {1, 1}};
-    REQUIRE(sent(old.tell(wish("old"))) != nullptr);
+    REQUIRE(sent(old.tell(request("old"))) != nullptr);
     CHECK(old.orderer.may_send(late, old.now));
 
     host next("b", 2);
     next.now = old.now;
     next.list(2, {"b"}, false);
-    next.tell(wish("new"));
+    next.tell(request("new"));
     fleet::order const order{"engine", "new", {2, 2}};
     CHECK(next.pass(29s) == 0);
     CHECK_FALSE(next.orderer.may_send(order, next.now));
@@ -186,7 +186,7 @@
     host one("a", 1);
     one.list(1, {"a"}, false);
     one.pass(31s);
-    auto const out = one.tell(wish("old"));
+    auto const out = one.tell(request("old"));
     REQUIRE(sent(out) != nullptr);
     fleet::order const late = *sent(out);
     one.list(2, {"b"}, false);
@@ -198,7 +198,7 @@
 TEST_CASE("the quiet time outlasts every order of the orderer before")
 {
     fleet::order_settings const settings;
-    CHECK(settings.quiet > settings.lease + settings.flight);
+    CHECK(settings.takeover_delay > settings.lease + settings.delivery_timeout);
 }
 
 TEST_CASE("an engine is not ordered again within the dwell time")
@@ -208,12 +208,12 @@
     host one("a", 1);
     one.list(1, {"a"}, true);
     one.pass(1s);
-    REQUIRE(sent(one.tell(wish("x"))) != nullptr);
+    REQUIRE(sent(one.tell(request("x"))) != nullptr);
     one.tell(fleet::order_ended{"engine", fleet::order_end::done});
     std::size_t orders = 0;
     for (int second = 0; second < 59; ++second) {
         orders += one.pass(1s);
-        orders += sent(one.tell(wish(second % 2 == 0 ? "y" : "x"))) ? 1 : 0;
+        orders += sent(one.tell(request(second % 2 == 0 ? "y" : "x"))) ? 1 : 0;
     }
     CHECK(orders == 0);
     CHECK(one.pass(1s) == 1);
@@ -242,7 +242,9 @@
         now += 1s;
         for (auto const& engine : engines) {
             orderer.handle(
-                fleet::order_wished{{engine.name, "draft"}, false}, now, out);
+                fleet::order_requested{{engine.name, "draft"}, false},
+                now,
+                out);
         }
     }
     CHECK(out.size() >= 59);
@@ -257,12 +259,12 @@
     SUBCASE("stopping")
     {
         one.tell(fleet::order_stop_planned{});
-        CHECK(sent(one.tell(wish("draft"))) == nullptr);
+        CHECK(sent(one.tell(request("draft"))) == nullptr);
     }
     SUBCASE("slept")
     {
         one.now += 60s;
-        CHECK(sent(one.tell(wish("draft"))) == nullptr);
+        CHECK(sent(one.tell(request("draft"))) == nullptr);
         one.tell(fleet::order_hosts_confirmed{one.now});
         CHECK(sent(one.tell(fleet::order_tick{})) != nullptr);
     }
--- a/tests/net/peer_codec_test.cpp
+++ b/tests/net/peer_codec_test.cpp
@@ -27,7 +27,7 @@
 {
     using namespace fleet;
     config_announce const told{{{1, 2, 3, 4}}, {{5, 6, 7, 8}}};
-    host_rumour const rumour{"otaru-1", 9, 2, rumour_kind::leaving};
+    membership_update const update{"otaru-1", 9, 2, update_kind::leaving};
     auto const body = std::make_shared<std::string const>("{}");
     std::vector<header_field> const fields{{"host", "a"}, {"x", ""}};
     claim_reply reply{key, attempt, claim_status::held, true, 45, 5};
@@ -45,9 +45,9 @@
         net::peer_ping{7},
         net::peer_pong{8},
         peer_message(heartbeat{9, true, true, 10, told}),
-        peer_message(host_rumours{{rumour, rumour}}),
+        peer_message(membership_updates{{update, update}}),
         peer_message(probe{11}),
-        peer_message(probe_reply{12, 13, true, told, {rumour}}),
+        peer_message(probe_reply{12, 13, true, told, {update}}),
         peer_message(told),
         peer_message(config_fetch{published_value::hosts, 14, 15}),
         peer_message(
@@ -59,12 +59,12 @@
                                   nullptr,
                                   {{18, 21, 22, "text"}}}),
         peer_message(load_digest{"otaru-1", 23, 1, {24, 25}}),
-        peer_message(handover_request{
+        peer_message(hand_over_request{
             {26}, "POST", "/v1", fields, "body", model::milliseconds(27)}),
-        peer_message(handover_chunk{{28}, 200, fields, "bytes"}),
-        peer_message(handover_end{
-            {29}, handover_result::broken, model::outcome::unknown, "why"}),
-        peer_message(handover_cancel{{30}}),
+        peer_message(hand_over_chunk{{28}, 200, fields, "bytes"}),
+        peer_message(hand_over_end{
+            {29}, hand_over_result::broken, model::outcome::unknown, "why"}),
+        peer_message(hand_over_cancel{{30}}),
         peer_message(claim_message(claim_request{key, attempt, 31, 32})),
         peer_message(claim_message(reply)),
         peer_message(claim_message(claim_release{key, attempt})),
@@ -78,7 +78,7 @@
         peer_message(claim_message(answer_query{key, attempt, 45})),
         peer_message(claim_message(
             answer_reply{key, 46, true, 200, "text/plain", "answer"})),
-        peer_message(order_wish{"engine-1", "drafter"}),
+        peer_message(order_request{"engine-1", "drafter"}),
     };
 }
 
@@ -107,8 +107,8 @@
         std::get<fleet::config_value>(std::get<fleet::peer_message>(value));
     CHECK(read.body == nullptr);
     CHECK(read.base == 20);
-    REQUIRE(read.splices.size() == 1);
-    CHECK(read.splices[0] == fleet::splice{18, 21, 22, "text"});
+    REQUIRE(read.deltas.size() == 1);
+    CHECK(read.deltas[0] == fleet::delta{18, 21, 22, "text"});
 }
 
 // A field was added to a vote and left out of the frame. Both ends agreed on
--- a/tests/net/peer_link_test.cpp
+++ b/tests/net/peer_link_test.cpp
@@ -134,14 +134,14 @@
     peer left(net.loop, "a");
     peer right(net.loop, "b");
     introduce({&left, &right});
-    fleet::handover_request request;
+    fleet::hand_over_request request;
     request.body = std::string(8'000'000, 'x');
     CHECK(left.link->send("b", request));
     REQUIRE(net.until([&] {
         return right.received.size() == 1;
     }));
     auto const& read =
-        std::get<fleet::handover_request>(right.received[0].second);
+        std::get<fleet::hand_over_request>(right.received[0].second);
     CHECK(read == request);
 }
 
@@ -292,7 +292,7 @@
         far.loop.poll();
         return left.connected.size() == 1;
     }));
-    fleet::handover_chunk chunk;
+    fleet::hand_over_chunk chunk;
     chunk.bytes = std::string(1'000'000, 'x');
     std::size_t taken = 0;
     while (taken < 100 && left.link->send("b", chunk)) {
--- a/tests/program/engine_orders_test.cpp
+++ b/tests/program/engine_orders_test.cpp
@@ -22,12 +22,13 @@
     explicit ordering_host(std::vector<std::string> const& names)
         : loop(time.view())
         , engine(loop.base(), checking())
-        , orders(loop,
-                 "host-1",
-                 std::uint64_t{7} << 32U,
-                 [this](std::string const& to, fleet::order_wish const& wish) {
-                     forwarded.push_back(to + " " + wish.model);
-                 })
+        , orders(
+              loop,
+              "host-1",
+              std::uint64_t{7} << 32U,
+              [this](std::string const& to, fleet::order_request const& wish) {
+                  forwarded.push_back(to + " " + wish.model);
+              })
     {
         runtime::log_to([](std::string_view /*line*/) {});
         model::hosts hosts;
