--- a/src/routing/stop_rule.hpp
+++ b/src/routing/stop_rule.hpp
@@ -22,9 +22,9 @@
 /// middle; refused, it has not run, and its caller tries another host.
 ///
 /// \pre No time is negative. Thread safety: any thread.
-inline bool accepts_request(model::milliseconds since_signal,
-                            model::milliseconds stop_limit,
-                            model::milliseconds longest)
+inline bool accepts_new_request(model::milliseconds since_signal,
+                                model::milliseconds stop_limit,
+                                model::milliseconds longest)
 {
     // While the balancer still sends callers here, all are served: most
     // answers are far shorter than their timeout.
--- a/tests/routing/admission_test.cpp
+++ b/tests/routing/admission_test.cpp
@@ -165,11 +165,11 @@
 // begins four seconds before the end is cut off in the middle.
 TEST_CASE("a stopping host takes only what it can finish")
 {
-    CHECK(routing::accepts_request(1'000ms, 8'000ms, 15'000ms));
-    CHECK(!routing::accepts_request(3'500ms, 8'000ms, 15'000ms));
-    CHECK(routing::accepts_request(3'500ms, 8'000ms, 800ms));
-    CHECK(!routing::accepts_request(7'500ms, 8'000ms, 800ms));
-    CHECK(!routing::accepts_request(1'500ms, 2'000ms, 15'000ms));
+    CHECK(routing::accepts_new_request(1'000ms, 8'000ms, 15'000ms));
+    CHECK(!routing::accepts_new_request(3'500ms, 8'000ms, 15'000ms));
+    CHECK(routing::accepts_new_request(3'500ms, 8'000ms, 800ms));
+    CHECK(!routing::accepts_new_request(7'500ms, 8'000ms, 800ms));
+    CHECK(!routing::accepts_new_request(1'500ms, 2'000ms, 15'000ms));
 }
 
 // A stopping host cuts off what it has taken, and a caller loses its answer.
@@ -177,12 +177,12 @@
 {
     constexpr auto limit = 8'000ms;
     // The balancer's lag counts from the signal, which may be stamped late.
-    CHECK(!routing::accepts_request(2'900ms, limit, 15'000ms));
+    CHECK(!routing::accepts_new_request(2'900ms, limit, 15'000ms));
     // The process leaves before the limit.
-    CHECK(!routing::accepts_request(4'900ms, limit, 3'000ms));
+    CHECK(!routing::accepts_new_request(4'900ms, limit, 3'000ms));
     for (auto since = 2'900ms; since < limit; since += 10ms) {
         for (auto longest = 100ms; longest < limit; longest += 100ms) {
-            if (routing::accepts_request(since, limit, longest)) {
+            if (routing::accepts_new_request(since, limit, longest)) {
                 CHECK(since + longest < limit - 250ms);
             }
         }
