--- a/bench/booking_bench/main.cpp
+++ b/bench/booking_bench/main.cpp
@@ -22,7 +22,7 @@
 
 std::shared_ptr<fleet::claim_view const> make_view(std::size_t count)
 {
-    model::hosts hosts;
+    model::host_list hosts;
     hosts.revision = 1;
     for (std::size_t index = 0; index < count; ++index) {
         model::host host;
--- a/bench/claims_explorer/booking_fleet.cpp
+++ b/bench/claims_explorer/booking_fleet.cpp
@@ -53,7 +53,7 @@
 void booking_fleet::publish()
 {
     if (m_changed) {
-        model::hosts const hosts{++m_revision, m_listed};
+        model::host_list const hosts{++m_revision, m_listed};
         m_view = std::make_shared<fleet::claim_view const>(hosts, m_settings);
         m_changed = false;
     }
--- a/bench/claims_explorer/scenario.cpp
+++ b/bench/claims_explorer/scenario.cpp
@@ -35,11 +35,11 @@
     return settings;
 }
 
-model::hosts list_of(std::vector<std::string> const& names,
-                     std::vector<std::size_t> const& members,
-                     std::uint64_t revision)
+model::host_list list_of(std::vector<std::string> const& names,
+                         std::vector<std::size_t> const& members,
+                         std::uint64_t revision)
 {
-    model::hosts hosts;
+    model::host_list hosts;
     hosts.revision = revision;
     for (std::size_t const member : members) {
         model::host host;
--- a/bench/core_bench/loaded_router.cpp
+++ b/bench/core_bench/loaded_router.cpp
@@ -35,7 +35,7 @@
         lists::service_class made;
         made.name = name;
         made.tier = name;
-        made.first_token = std::chrono::hours{1};
+        made.first_token_target = std::chrono::hours{1};
         made.max_wait = std::chrono::hours{20'000};
         plans.classes.push_back(made);
         plan.classes.push_back(name);
@@ -45,9 +45,9 @@
                                                     lists::entitlement_list{});
 }
 
-model::upstreams make_engines(std::size_t count)
+model::upstream_list make_engines(std::size_t count)
 {
-    model::upstreams made;
+    model::upstream_list made;
     for (std::size_t place = 0; place < count; ++place) {
         model::engine engine;
         engine.name = "engine-" + std::to_string(place);
@@ -67,7 +67,7 @@
     , m_now(model::time_point{} + std::chrono::hours{1})
 {
     handle(decide::lists_changed{make_catalogue()});
-    model::upstreams const engines = make_engines(size.engines);
+    model::upstream_list const engines = make_engines(size.engines);
     double const before = heap_bytes();
     handle(decide::upstreams_changed{engines});
     m_engine_bytes = heap_bytes() - before;
--- a/bench/fleet_bench/virtual_fleet.cpp
+++ b/bench/fleet_bench/virtual_fleet.cpp
@@ -66,7 +66,7 @@
 
 void virtual_fleet::publish_hosts()
 {
-    model::hosts list;
+    model::host_list list;
     list.revision = m_revision + 1;
     for (std::string const& name : m_listed) {
         list.members.push_back(m_hosts.at(name).host);
--- a/bench/fleet_bench/virtual_fleet.hpp
+++ b/bench/fleet_bench/virtual_fleet.hpp
@@ -4,7 +4,7 @@
 #include "bench/fleet_bench/virtual_host.hpp"
 #include "bench/fleet_bench/virtual_service.hpp"
 #include "fleet/agent_settings.hpp"
-#include "model/hosts.hpp"
+#include "model/host_list.hpp"
 
 #include <cstddef>
 #include <functional>
@@ -128,7 +128,7 @@
     std::set<std::pair<std::string, std::string>> m_cuts;
     /// Keeps messages on one connection in order.
     std::map<std::pair<std::string, std::string>, model::time_point> m_arrivals;
-    std::map<std::uint64_t, model::hosts> m_lists;
+    std::map<std::uint64_t, model::host_list> m_lists;
     std::vector<observed_change> m_changes;
     virtual_service m_service;
     std::uint64_t m_revision = 0;
--- a/bench/policy_bench/deployment.hpp
+++ b/bench/policy_bench/deployment.hpp
@@ -7,7 +7,7 @@
 #include "bench/policy_bench/place.hpp"
 #include "lists/catalogue.hpp"
 #include "model/host.hpp"
-#include "model/upstreams.hpp"
+#include "model/upstream_list.hpp"
 
 #include <memory>
 #include <string>
@@ -24,7 +24,7 @@
     std::vector<std::string> regions;
     std::vector<std::string> data_centres;
     std::vector<model::host> hosts;
-    model::upstreams upstreams;
+    model::upstream_list upstreams;
     std::shared_ptr<lists::catalogue const> catalogue;
     std::vector<class_load> loads;
     /// In the order of the customer's teams: a few large, the others small.
--- a/bench/policy_bench/direct_policy.hpp
+++ b/bench/policy_bench/direct_policy.hpp
@@ -43,7 +43,7 @@
     chooser m_choose;
     ranker m_rank;
     std::shared_ptr<lists::catalogue const> m_catalogue;
-    model::upstreams m_upstreams;
+    model::upstream_list m_upstreams;
     outstanding_map m_outstanding;
     std::unordered_map<model::request_id, std::string> m_flights;
 };
--- a/bench/policy_bench/score.cpp
+++ b/bench/policy_bench/score.cpp
@@ -34,7 +34,7 @@
     send const& last = m_hosts.sends()[who.send];
     return last.end == send_end::ran
            && last.first_token - who.plan->when
-                  <= m_where.class_of(who.plan->load).first_token;
+                  <= m_where.class_of(who.plan->load).first_token_target;
 }
 
 bool score::within(caller const& who) const
@@ -45,7 +45,7 @@
     }
     return last.relayed < 2
            || (last.last_token - last.first_token) / (last.relayed - 1)
-                  <= m_where.class_of(who.plan->load).between_tokens;
+                  <= m_where.class_of(who.plan->load).inter_token_target;
 }
 
 bool score::left_in_time(caller const& who) const
@@ -58,7 +58,7 @@
         last.has_answer() ? last.first_token
                           : who.plan->when + who.plan->hangs_up_after;
     return until - who.plan->when
-           <= m_where.class_of(who.plan->load).first_token;
+           <= m_where.class_of(who.plan->load).first_token_target;
 }
 
 double score::work_of(caller const& who) const
--- a/src/decide/engine_table.cpp
+++ b/src/decide/engine_table.cpp
@@ -42,7 +42,7 @@
 {
 }
 
-void engine_table::apply(model::upstreams const& listed,
+void engine_table::apply(model::upstream_list const& listed,
                          std::vector<double> const& shares,
                          model::time_point now)
 {
--- a/src/decide/engine_table.hpp
+++ b/src/decide/engine_table.hpp
@@ -5,7 +5,7 @@
 #include "decide/host_position.hpp"
 #include "decide/model_group.hpp"
 #include "decide/name_table.hpp"
-#include "model/upstreams.hpp"
+#include "model/upstream_list.hpp"
 
 #include <cstdint>
 #include <string>
@@ -24,7 +24,7 @@
     engine_table(std::string host, std::string region);
 
     /// Takes over the platform's list.
-    void apply(model::upstreams const& listed,
+    void apply(model::upstream_list const& listed,
                std::vector<double> const& shares,
                model::time_point now);
 
--- a/src/decide/event.hpp
+++ b/src/decide/event.hpp
@@ -5,7 +5,7 @@
 #include "lists/catalogue.hpp"
 #include "model/request_id.hpp"
 #include "model/time.hpp"
-#include "model/upstreams.hpp"
+#include "model/upstream_list.hpp"
 
 #include <cstdint>
 #include <memory>
@@ -24,7 +24,7 @@
 /// The platform lists these upstreams from now on.
 struct upstreams_changed
 {
-    model::upstreams upstreams;
+    model::upstream_list upstreams;
 };
 
 struct request_arrived
--- a/src/decide/policy_table.cpp
+++ b/src/decide/policy_table.cpp
@@ -71,8 +71,8 @@
     rules.tier = found == m_tier_names.end()
                      ? lowest_tier()
                      : static_cast<index>(found - m_tier_names.begin());
-    rules.first_token = source.first_token;
-    rules.between_tokens = source.between_tokens;
+    rules.first_token = source.first_token_target;
+    rules.between_tokens = source.inter_token_target;
     rules.max_wait = source.max_wait;
     rules.max_output_tokens = source.max_output_tokens;
     rules.retry_ratio = source.retry_ratio;
--- a/src/decide/replay.cpp
+++ b/src/decide/replay.cpp
@@ -70,7 +70,8 @@
         lists::service_class made;
         made.name = line.text("name");
         made.tier = line.text("tier");
-        made.first_token = model::milliseconds{line.number("first_token", 490)};
+        made.first_token_target =
+            model::milliseconds{line.number("first_token", 490)};
         made.max_wait = model::milliseconds{line.number("max_wait", 5000)};
         m_plans.classes.push_back(made);
     }
@@ -170,7 +171,7 @@
     router m_router{{"host-1", home, "west-a", 1}};
     model::time_point m_now = start;
     lists::plan_list m_plans;
-    model::upstreams m_upstreams;
+    model::upstream_list m_upstreams;
     std::string m_log;
 };
 
--- a/src/decide/service_table.cpp
+++ b/src/decide/service_table.cpp
@@ -16,7 +16,7 @@
 {
 }
 
-void service_table::apply(model::upstreams const& listed)
+void service_table::apply(model::upstream_list const& listed)
 {
     for (instance& one : m_instances) {
         one.listed = false;
--- a/src/decide/service_table.hpp
+++ b/src/decide/service_table.hpp
@@ -3,7 +3,7 @@
 
 #include "decide/indices.hpp"
 #include "decide/name_table.hpp"
-#include "model/upstreams.hpp"
+#include "model/upstream_list.hpp"
 
 #include <cstdint>
 #include <string>
@@ -19,7 +19,7 @@
 public:
     explicit service_table(std::string region);
 
-    void apply(model::upstreams const& listed);
+    void apply(model::upstream_list const& listed);
 
     /// The number of a service; `no_index` if none of it was ever listed.
     index find(std::string const& service) const
--- a/src/fleet/agent_event.hpp
+++ b/src/fleet/agent_event.hpp
@@ -3,7 +3,7 @@
 
 #include "fleet/host_view.hpp"
 #include "fleet/peer_message.hpp"
-#include "model/hosts.hpp"
+#include "model/host_list.hpp"
 
 #include <cstdint>
 #include <memory>
@@ -17,7 +17,7 @@
 /// can't reach the service is told of some peers by its settings, revision 0.
 struct hosts_listed
 {
-    model::hosts hosts;
+    model::host_list hosts;
 };
 
 /// A peer sent a message over the link.
--- a/src/fleet/claim_view.cpp
+++ b/src/fleet/claim_view.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-claim_view::claim_view(model::hosts hosts, claim_settings const& settings)
+claim_view::claim_view(model::host_list hosts, claim_settings const& settings)
     : m_hosts(std::move(hosts))
     , m_settings(settings)
 {
@@ -79,7 +79,7 @@
 
 claim_view claim_view::without(std::set<std::string> const& hosts) const
 {
-    model::hosts rest = m_hosts;
+    model::host_list rest = m_hosts;
     std::erase_if(rest.members, [&](model::host const& one) {
         return hosts.count(one.name) > 0;
     });
--- a/src/fleet/claim_view.hpp
+++ b/src/fleet/claim_view.hpp
@@ -2,7 +2,7 @@
 #define CAPERJUNCTION_FLEET_CLAIM_VIEW_HPP
 
 #include "fleet/claim_settings.hpp"
-#include "model/hosts.hpp"
+#include "model/host_list.hpp"
 
 #include <cstddef>
 #include <cstdint>
@@ -26,7 +26,7 @@
     /// Work grows with hosts times buckets: about 26 ms for 400 hosts.
     ///
     /// \pre hosts' names differ.
-    claim_view(model::hosts hosts, claim_settings const& settings);
+    claim_view(model::host_list hosts, claim_settings const& settings);
 
     std::uint64_t revision() const
     {
@@ -58,7 +58,7 @@
                           claim_view const& next) const;
 
 private:
-    model::hosts m_hosts;
+    model::host_list m_hosts;
     claim_settings m_settings;
     std::vector<std::vector<std::string>> m_witnesses;
 };
--- a/src/lists/check_deployment.cpp
+++ b/src/lists/check_deployment.cpp
@@ -15,7 +15,8 @@
     std::set<std::string> services;
 };
 
-deployed collect(model::hosts const& hosts, model::upstreams const& upstreams)
+deployed collect(model::host_list const& hosts,
+                 model::upstream_list const& upstreams)
 {
     deployed found;
     for (model::host const& member : hosts.members) {
@@ -75,8 +76,8 @@
 } // namespace
 
 std::vector<fault> check_deployment(entitlement_list const& entitlements,
-                                    model::hosts const& hosts,
-                                    model::upstreams const& upstreams)
+                                    model::host_list const& hosts,
+                                    model::upstream_list const& upstreams)
 {
     std::vector<fault> faults;
     deployed const there = collect(hosts, upstreams);
--- a/src/lists/check_deployment.hpp
+++ b/src/lists/check_deployment.hpp
@@ -3,8 +3,8 @@
 
 #include "lists/entitlement_list.hpp"
 #include "lists/fault.hpp"
-#include "model/hosts.hpp"
-#include "model/upstreams.hpp"
+#include "model/host_list.hpp"
+#include "model/upstream_list.hpp"
 
 #include <vector>
 
@@ -17,8 +17,8 @@
 /// themselves, so a router that refused a list for this would drop a good one
 /// while a region is away. Thread safety: no shared state.
 std::vector<fault> check_deployment(entitlement_list const& entitlements,
-                                    model::hosts const& hosts,
-                                    model::upstreams const& upstreams);
+                                    model::host_list const& hosts,
+                                    model::upstream_list const& upstreams);
 
 } // namespace caperjunction::lists
 
--- a/src/lists/reader.cpp
+++ b/src/lists/object_reader.cpp
@@ -1,6 +1,6 @@
-#include "lists/reader.hpp"
+#include "lists/object_reader.hpp"
 
-#include "lists/text_shape.hpp"
+#include "lists/text_validation.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -16,10 +16,10 @@
 
 } // namespace
 
-reader::reader(nlohmann::json const& object,
-               std::string file,
-               std::string path,
-               std::vector<fault>& faults)
+object_reader::object_reader(nlohmann::json const& object,
+                             std::string file,
+                             std::string path,
+                             std::vector<fault>& faults)
     : m_object(object)
     , m_file(std::move(file))
     , m_path(std::move(path))
@@ -31,19 +31,21 @@
     }
 }
 
-void reader::note(char const* field, std::string message, std::string remedy)
+void object_reader::add_fault(char const* field,
+                              std::string message,
+                              std::string remedy)
 {
     if (m_faults.size() < max_faults) {
         m_faults.push_back({m_file,
-                            m_path + '/' + printable(field),
+                            m_path + '/' + sanitize_field_name(field),
                             std::move(message),
                             std::move(remedy)});
     }
 }
 
-nlohmann::json const* reader::find(char const* field)
+nlohmann::json const* object_reader::find(char const* field)
 {
-    m_read.emplace_back(field);
+    m_read_fields.emplace_back(field);
     if (!m_object.is_object()) {
         return nullptr;
     }
@@ -51,64 +53,65 @@
     return found == m_object.end() ? nullptr : &*found;
 }
 
-nlohmann::json const* reader::need(char const* field)
+nlohmann::json const* object_reader::require(char const* field)
 {
     nlohmann::json const* const value = find(field);
     if (value == nullptr && m_object.is_object()) {
-        note(field, "is missing", "add this field");
+        add_fault(field, "is missing", "add this field");
     }
     return value;
 }
 
-nlohmann::json const* reader::find_array(char const* field)
+nlohmann::json const* object_reader::find_array(char const* field)
 {
     nlohmann::json const* const value = find(field);
     if (value != nullptr && !value->is_array()) {
-        note(field, "is not an array", "write it as [ ... ]");
+        add_fault(field, "is not an array", "write it as [ ... ]");
         return nullptr;
     }
     return value;
 }
 
-void reader::need_name(char const* field, std::string& into)
+void object_reader::require_name(char const* field, std::string& into)
 {
-    if (need(field) != nullptr) {
-        name(field, into);
+    if (require(field) != nullptr) {
+        read_name(field, into);
     }
 }
 
-void reader::name(char const* field, std::string& into)
+void object_reader::read_name(char const* field, std::string& into)
 {
     nlohmann::json const* const value = find(field);
     if (value == nullptr) {
         return;
     }
     if (!value->is_string() || !is_name(value->get<std::string>())) {
-        note(field, "is not a name", "use 1 to 64 letters, digits, or - _ . :");
+        add_fault(
+            field, "is not a name", "use 1 to 64 letters, digits, or - _ . :");
         return;
     }
     into = value->get<std::string>();
 }
 
-void reader::need_text(char const* field, std::string& into)
+void object_reader::require_text(char const* field, std::string& into)
 {
-    nlohmann::json const* const value = need(field);
+    nlohmann::json const* const value = require(field);
     if (value == nullptr) {
         return;
     }
     if (!value->is_string() || value->get<std::string>().empty()) {
-        note(field, "is not a text", "write a text in quotes");
+        add_fault(field, "is not a text", "write a text in quotes");
         return;
     }
     into = value->get<std::string>();
 }
 
-void reader::need_hex(char const* field,
-                      std::string& into,
-                      std::size_t least,
-                      std::size_t most)
+void object_reader::require_hex(char const* field,
+                                std::string& into,
+                                std::size_t least,
+                                std::size_t most)
 {
-    nlohmann::json const* const value = need(field);
+    nlohmann::json const* const value = require(field);
     if (value == nullptr) {
         return;
     }
@@ -117,29 +120,31 @@
     bool const fits =
         text.size() >= least && text.size() <= most && is_hex(text);
     if (!fits) {
-        note(field,
-             "is not a text of lower-case hex digits of the right length",
-             "write " + std::to_string(least) + " to " + std::to_string(most)
-                 + " of the digits 0-9 and a-f");
+        add_fault(field,
+                  "is not a text of lower-case hex digits of the right length",
+                  "write " + std::to_string(least) + " to "
+                      + std::to_string(most) + " of the digits 0-9 and a-f");
         return;
     }
     into = text;
 }
 
-void reader::boolean(char const* field, bool& into)
+void object_reader::read_boolean(char const* field, bool& into)
 {
     nlohmann::json const* const value = find(field);
     if (value == nullptr) {
         return;
     }
     if (!value->is_boolean()) {
-        note(field, "is neither true nor false", "write true or false");
+        add_fault(field, "is neither true nor false", "write true or false");
         return;
     }
     into = value->get<bool>();
 }
 
-void reader::count(char const* field, std::uint32_t& into, std::uint32_t least)
+void object_reader::read_count(char const* field,
+                               std::uint32_t& into,
+                               std::uint32_t least)
 {
     nlohmann::json const* const value = find(field);
     if (value == nullptr) {
@@ -150,15 +155,15 @@
                       && value->get<std::uint64_t>()
                              <= std::numeric_limits<std::uint32_t>::max();
     if (!fits) {
-        note(field,
-             "is not a whole number in range",
-             "write a whole number of at least " + std::to_string(least));
+        add_fault(field,
+                  "is not a whole number in range",
+                  "write a whole number of at least " + std::to_string(least));
         return;
     }
     into = value->get<std::uint32_t>();
 }
 
-void reader::rate(char const* field, double& into)
+void object_reader::read_rate(char const* field, double& into)
 {
     nlohmann::json const* const value = find(field);
     if (value == nullptr) {
@@ -167,13 +172,13 @@
     bool const fits = value->is_number() && value->get<double>() >= 0.0
                       && value->get<double>() <= max_rate;
     if (!fits) {
-        note(field, "is not a rate", "write a number from 0 to 1e12");
+        add_fault(field, "is not a rate", "write a number from 0 to 1e12");
         return;
     }
     into = value->get<double>();
 }
 
-void reader::share(char const* field, double& into)
+void object_reader::read_share(char const* field, double& into)
 {
     nlohmann::json const* const value = find(field);
     if (value == nullptr) {
@@ -182,24 +187,26 @@
     bool const fits = value->is_number() && value->get<double>() >= 0.0
                       && value->get<double>() <= 1.0;
     if (!fits) {
-        note(field, "is not a share", "write a number from 0 to 1");
+        add_fault(field, "is not a share", "write a number from 0 to 1");
         return;
     }
     into = value->get<double>();
 }
 
-void reader::duration_ms(char const* field, std::chrono::milliseconds& into)
+void object_reader::read_duration_ms(char const* field,
+                                     std::chrono::milliseconds& into)
 {
     auto whole = static_cast<std::uint32_t>(into.count());
-    count(field, whole, 1);
+    read_count(field, whole, 1);
     if (whole > max_duration_ms) {
-        note(field, "is longer than a day", "write it in milliseconds");
+        add_fault(field, "is longer than a day", "write it in milliseconds");
         return;
     }
     into = std::chrono::milliseconds(whole);
 }
 
-void reader::names(char const* field, std::vector<std::string>& into)
+void object_reader::read_names(char const* field,
+                               std::vector<std::string>& into)
 {
     nlohmann::json const* const array = find_array(field);
     if (array == nullptr) {
@@ -207,60 +214,61 @@
     }
     for (nlohmann::json const& item : *array) {
         if (!item.is_string() || !is_name(item.get<std::string>())) {
-            note(field,
-                 "holds something that is not a name",
-                 "use 1 to 64 letters, digits, or - _ . :");
+            add_fault(field,
+                      "holds something that is not a name",
+                      "use 1 to 64 letters, digits, or - _ . :");
             return;
         }
         into.push_back(item.get<std::string>());
     }
 }
 
-void reader::need_endpoint(char const* field, model::endpoint& into)
+void object_reader::require_endpoint(char const* field, model::endpoint& into)
 {
-    if (need(field) == nullptr) {
+    if (require(field) == nullptr) {
         return;
     }
-    object(field, [&into](reader& item) {
+    read_object(field, [&into](object_reader& item) {
         item.read_address(into);
         item.read_port(into);
     });
 }
 
-void reader::read_address(model::endpoint& into)
+void object_reader::read_address(model::endpoint& into)
 {
-    need_text("address", into.address);
+    require_text("address", into.address);
     if (!into.address.empty() && !is_numeric_address(into.address)) {
-        note("address",
-             "is not an IP address in numbers",
-             "write it as 10.0.0.1 or fd00::1; names are not resolved");
+        add_fault("address",
+                  "is not an IP address in numbers",
+                  "write it as 10.0.0.1 or fd00::1; names are not resolved");
     }
 }
 
-void reader::read_port(model::endpoint& into)
+void object_reader::read_port(model::endpoint& into)
 {
     std::uint32_t port = 0;
-    if (need("port") == nullptr) {
+    if (require("port") == nullptr) {
         return;
     }
-    count("port", port, 1);
+    read_count("port", port, 1);
     if (port > std::numeric_limits<std::uint16_t>::max()) {
-        note("port", "is not a port", "write a number from 1 to 65535");
+        add_fault("port", "is not a port", "write a number from 1 to 65535");
         return;
     }
     into.port = static_cast<std::uint16_t>(port);
 }
 
-void reader::refuse_unread()
+void object_reader::report_unknown_fields()
 {
     if (!m_object.is_object()) {
         return;
     }
     for (auto const& [field, value] : m_object.items()) {
-        if (std::find(m_read.begin(), m_read.end(), field) == m_read.end()) {
-            note(field.c_str(),
-                 "is not a known field",
-                 "correct its spelling or remove it");
+        if (std::find(m_read_fields.begin(), m_read_fields.end(), field)
+            == m_read_fields.end()) {
+            add_fault(field.c_str(),
+                      "is not a known field",
+                      "correct its spelling or remove it");
         }
     }
 }
--- a/src/lists/parse_document.cpp
+++ b/src/lists/parse_document.cpp
@@ -1,6 +1,6 @@
 #include "lists/parse_document.hpp"
 
-#include "lists/text_shape.hpp"
+#include "lists/text_validation.hpp"
 #include "model/limits.hpp"
 
 #include <set>
--- a/src/lists/parse_hosts.cpp
+++ b/src/lists/parse_hosts.cpp
@@ -1,45 +1,48 @@
 #include "lists/parse_hosts.hpp"
 
+#include "lists/object_reader.hpp"
 #include "lists/parse_document.hpp"
-#include "lists/reader.hpp"
 
 #include <set>
 
 namespace caperjunction::lists {
 namespace {
 
-void read_host(reader& from, std::set<std::string>& taken, model::hosts& into)
+void read_host(object_reader& from,
+               std::set<std::string>& taken,
+               model::host_list& into)
 {
     model::host item;
-    from.need_name("name", item.name);
-    from.need_name("region", item.region);
-    from.need_name("data_centre", item.data_centre);
-    from.need_endpoint("callers", item.callers);
-    from.need_endpoint("peers", item.peers);
-    from.boolean("leaving", item.leaving);
+    from.require_name("name", item.name);
+    from.require_name("region", item.region);
+    from.require_name("data_centre", item.data_centre);
+    from.require_endpoint("callers", item.callers);
+    from.require_endpoint("peers", item.peers);
+    from.read_boolean("leaving", item.leaving);
     if (!item.name.empty() && !taken.insert(item.name).second) {
-        from.note("name", "is given twice", "rename or remove one of the two");
+        from.add_fault(
+            "name", "is given twice", "rename or remove one of the two");
     }
     into.members.push_back(std::move(item));
 }
 
 } // namespace
 
-model::hosts parse_hosts(std::string_view text,
-                         std::string const& file,
-                         std::vector<fault>& faults)
+model::host_list parse_hosts(std::string_view text,
+                             std::string const& file,
+                             std::vector<fault>& faults)
 {
-    model::hosts list;
+    model::host_list list;
     auto const root = parse_document(text, file, faults);
     if (!root) {
         return list;
     }
     std::set<std::string> taken;
-    reader top(*root, file, "", faults);
-    top.objects("hosts", [&](reader& item) {
+    object_reader top(*root, file, "", faults);
+    top.read_objects("hosts", [&](object_reader& item) {
         read_host(item, taken, list);
     });
-    top.refuse_unread();
+    top.report_unknown_fields();
     return list;
 }
 
--- a/src/lists/parse_hosts.hpp
+++ b/src/lists/parse_hosts.hpp
@@ -2,7 +2,7 @@
 #define CAPERJUNCTION_LISTS_PARSE_HOSTS_HPP
 
 #include "lists/fault.hpp"
-#include "model/hosts.hpp"
+#include "model/host_list.hpp"
 
 #include <string>
 #include <string_view>
@@ -13,9 +13,9 @@
 /// Fills the platform's list of hosts from its JSON text, and appends every
 /// fault found to `faults`; the result may be used only if none was appended.
 /// The revision is the publisher's and stays 0. Thread safety: no shared state.
-model::hosts parse_hosts(std::string_view text,
-                         std::string const& file,
-                         std::vector<fault>& faults);
+model::host_list parse_hosts(std::string_view text,
+                             std::string const& file,
+                             std::vector<fault>& faults);
 
 } // namespace caperjunction::lists
 
--- a/src/lists/parse_upstreams.cpp
+++ b/src/lists/parse_upstreams.cpp
@@ -1,26 +1,27 @@
 #include "lists/parse_upstreams.hpp"
 
+#include "lists/object_reader.hpp"
 #include "lists/parse_document.hpp"
-#include "lists/reader.hpp"
 
 #include <set>
 
 namespace caperjunction::lists {
 namespace {
 
-void refuse_twice(reader& from,
+void refuse_twice(object_reader& from,
                   std::set<std::string>& taken,
                   std::string const& name)
 {
     if (!name.empty() && !taken.insert(name).second) {
-        from.note("name", "is given twice", "rename or remove one of the two");
+        from.add_fault(
+            "name", "is given twice", "rename or remove one of the two");
     }
 }
 
-void read_role(reader& from, model::engine_role& into)
+void read_role(object_reader& from, model::engine_role& into)
 {
     std::string role = "mixed";
-    from.name("role", role);
+    from.read_name("role", role);
     if (role == "mixed") {
         into = model::engine_role::mixed;
     } else if (role == "prefill") {
@@ -28,65 +29,65 @@
     } else if (role == "decode") {
         into = model::engine_role::decode;
     } else {
-        from.note("role",
-                  "is not a role of an engine",
-                  "write mixed, prefill or decode");
+        from.add_fault("role",
+                       "is not a role of an engine",
+                       "write mixed, prefill or decode");
     }
 }
 
-void read_engine(reader& from,
+void read_engine(object_reader& from,
                  std::set<std::string>& taken,
-                 model::upstreams& into)
+                 model::upstream_list& into)
 {
     model::engine item;
-    from.need_name("name", item.name);
-    from.need_name("region", item.region);
-    from.need_name("data_centre", item.data_centre);
-    from.need_endpoint("address", item.address);
-    from.names("models", item.models);
+    from.require_name("name", item.name);
+    from.require_name("region", item.region);
+    from.require_name("data_centre", item.data_centre);
+    from.require_endpoint("address", item.address);
+    from.read_names("models", item.models);
     read_role(from, item.role);
-    from.count("slots", item.slots, 0);
-    from.boolean("checks_fencing", item.checks_fencing);
-    from.boolean("leaving", item.leaving);
+    from.read_count("slots", item.slots, 0);
+    from.read_boolean("checks_fencing", item.checks_fencing);
+    from.read_boolean("leaving", item.leaving);
     refuse_twice(from, taken, item.name);
     into.engines.push_back(std::move(item));
 }
 
-void read_service(reader& from,
+void read_service(object_reader& from,
                   std::set<std::string>& taken,
-                  model::upstreams& into)
+                  model::upstream_list& into)
 {
     model::service_instance item;
-    from.need_name("service", item.service);
-    from.need_name("name", item.name);
-    from.need_name("region", item.region);
-    from.need_name("data_centre", item.data_centre);
-    from.need_endpoint("address", item.address);
-    from.boolean("leaving", item.leaving);
+    from.require_name("service", item.service);
+    from.require_name("name", item.name);
+    from.require_name("region", item.region);
+    from.require_name("data_centre", item.data_centre);
+    from.require_endpoint("address", item.address);
+    from.read_boolean("leaving", item.leaving);
     refuse_twice(from, taken, item.name);
     into.services.push_back(std::move(item));
 }
 
 } // namespace
 
-model::upstreams parse_upstreams(std::string_view text,
-                                 std::string const& file,
-                                 std::vector<fault>& faults)
+model::upstream_list parse_upstreams(std::string_view text,
+                                     std::string const& file,
+                                     std::vector<fault>& faults)
 {
-    model::upstreams list;
+    model::upstream_list list;
     auto const root = parse_document(text, file, faults);
     if (!root) {
         return list;
     }
     std::set<std::string> taken;
-    reader top(*root, file, "", faults);
-    top.objects("engines", [&](reader& item) {
+    object_reader top(*root, file, "", faults);
+    top.read_objects("engines", [&](object_reader& item) {
         read_engine(item, taken, list);
     });
-    top.objects("services", [&](reader& item) {
+    top.read_objects("services", [&](object_reader& item) {
         read_service(item, taken, list);
     });
-    top.refuse_unread();
+    top.report_unknown_fields();
     return list;
 }
 
--- a/src/lists/service_class.hpp
+++ b/src/lists/service_class.hpp
@@ -14,9 +14,9 @@
     std::string name;
     std::string tier;
     /// Target for the time from arrival to the first token.
-    model::milliseconds first_token{490};
+    model::milliseconds first_token_target{490};
     /// Target for the mean time between tokens.
-    model::milliseconds between_tokens{42};
+    model::milliseconds inter_token_target{42};
     /// Share of requests that the plan promises to be within both, 0..1.
     double promised_attainment = 0.95;
     /// A request that has waited this long is refused, with `Retry-After`.
--- a/src/lists/text_shape.cpp
+++ b/src/lists/text_validation.cpp
@@ -1,4 +1,4 @@
-#include "lists/text_shape.hpp"
+#include "lists/text_validation.hpp"
 
 #include "model/limits.hpp"
 
@@ -41,7 +41,7 @@
            || inet_pton(AF_INET6, text.c_str(), &parsed) == 1;
 }
 
-std::string printable(std::string const& field)
+std::string sanitize_field_name(std::string const& field)
 {
     std::string text = field.substr(0, model::limits::max_name_length);
     std::replace_if(
--- a/src/lists/text_shape.hpp
+++ b/src/lists/text_validation.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_LISTS_TEXT_SHAPE_HPP
-#define CAPERJUNCTION_LISTS_TEXT_SHAPE_HPP
+#ifndef CAPERJUNCTION_LISTS_TEXT_VALIDATION_HPP
+#define CAPERJUNCTION_LISTS_TEXT_VALIDATION_HPP
 
 #include <string>
 
@@ -18,7 +18,7 @@
 
 /// What may be shown of a field that some list names: a fault goes into logs,
 /// where a long or many-lined text would hide or forge others.
-std::string printable(std::string const& field);
+std::string sanitize_field_name(std::string const& field);
 
 } // namespace caperjunction::lists
 
--- a/src/model/hosts.hpp
+++ b/src/model/host_list.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_MODEL_HOSTS_HPP
-#define CAPERJUNCTION_MODEL_HOSTS_HPP
+#ifndef CAPERJUNCTION_MODEL_HOST_LIST_HPP
+#define CAPERJUNCTION_MODEL_HOST_LIST_HPP
 
 #include "model/host.hpp"
 
@@ -9,12 +9,12 @@
 namespace caperjunction::model {
 
 /// The platform's list of live and leaving hosts; it lags behind the truth.
-struct hosts
+struct host_list
 {
     std::uint64_t revision = 0;
     std::vector<host> members;
 
-    friend bool operator==(hosts const&, hosts const&) = default;
+    friend bool operator==(host_list const&, host_list const&) = default;
 };
 
 } // namespace caperjunction::model
--- a/src/net/engine_reader.hpp
+++ b/src/net/engine_reader.hpp
@@ -3,7 +3,7 @@
 
 #include "decide/event.hpp"
 #include "model/time.hpp"
-#include "model/upstreams.hpp"
+#include "model/upstream_list.hpp"
 #include "net/upstream_client.hpp"
 #include "runtime/event_loop.hpp"
 
--- a/src/net/relay.cpp
+++ b/src/net/relay.cpp
@@ -96,7 +96,7 @@
                message);
 }
 
-void relay::use(model::upstreams const& upstreams)
+void relay::use(model::upstream_list const& upstreams)
 {
     m_addresses.clear();
     for (model::engine const& engine : upstreams.engines) {
--- a/src/net/relay.hpp
+++ b/src/net/relay.hpp
@@ -63,7 +63,7 @@
     void refuse(decide::refuse const& refuse);
     void answer_stored(answer_again const& answer);
     void account();
-    void use(model::upstreams const& upstreams);
+    void use(model::upstream_list const& upstreams);
     exchange* find(model::request_id id);
 
     // Attempts at upstreams.
--- a/src/net/relay_message.hpp
+++ b/src/net/relay_message.hpp
@@ -5,7 +5,7 @@
 #include "fleet/hand_over_message.hpp"
 #include "lists/catalogue.hpp"
 #include "model/time.hpp"
-#include "model/upstreams.hpp"
+#include "model/upstream_list.hpp"
 
 #include <memory>
 #include <string>
@@ -22,7 +22,7 @@
 /// Addresses of the upstreams from now on.
 struct use_upstreams
 {
-    model::upstreams upstreams;
+    model::upstream_list upstreams;
 };
 
 /// Dispatch a call that may run only once; not after `until`.
--- a/src/program/bookings.cpp
+++ b/src/program/bookings.cpp
@@ -12,7 +12,7 @@
 // The relay gets a confirmed call within microseconds; if not, it slept.
 constexpr model::milliseconds relay_limit{2'000};
 
-bool names(model::hosts const& hosts, std::string const& name)
+bool names(model::host_list const& hosts, std::string const& name)
 {
     return std::any_of(hosts.members.begin(),
                        hosts.members.end(),
@@ -74,7 +74,7 @@
     }
 }
 
-void bookings::list(model::hosts const& hosts, model::time_point now)
+void bookings::list(model::host_list const& hosts, model::time_point now)
 {
     // A host may start before the platform lists it. By a list without
     // itself it would take the votes of the first fleet for given out, and
--- a/src/program/bookings.hpp
+++ b/src/program/bookings.hpp
@@ -5,7 +5,7 @@
 #include "fleet/claim_answers.hpp"
 #include "fleet/claimant.hpp"
 #include "fleet/witness.hpp"
-#include "model/hosts.hpp"
+#include "model/host_list.hpp"
 #include "model/outcome.hpp"
 #include "model/time.hpp"
 #include "net/caller_reply.hpp"
@@ -51,7 +51,7 @@
 public:
     bookings(booking_settings settings, booking_hooks hooks);
 
-    void list(model::hosts const& hosts, model::time_point now);
+    void list(model::host_list const& hosts, model::time_point now);
     void confirm(model::time_point as_of, model::time_point now);
     void arrive(net::booking_arrived const& arrived, model::time_point now);
     void receive(std::string const& from,
--- a/src/program/control.cpp
+++ b/src/program/control.cpp
@@ -85,10 +85,11 @@
         [this](std::shared_ptr<lists::catalogue const> const& catalogue) {
             take_lists(catalogue);
         });
-    m_node.upstreams_changed.connect([this](model::upstreams const& upstreams) {
-        take_upstreams(upstreams);
-    });
-    m_node.hosts_changed.connect([this](model::hosts const& hosts) {
+    m_node.upstreams_changed.connect(
+        [this](model::upstream_list const& upstreams) {
+            take_upstreams(upstreams);
+        });
+    m_node.hosts_changed.connect([this](model::host_list const& hosts) {
         m_bookings.list(hosts, m_loop.now());
         m_orders.list(hosts);
         // A host that hears the list from peers has never read it itself;
@@ -252,7 +253,7 @@
     m_to_relay(net::use_lists{catalogue});
 }
 
-void control::take_upstreams(model::upstreams const& upstreams)
+void control::take_upstreams(model::upstream_list const& upstreams)
 {
     m_to_relay(net::use_upstreams{upstreams});
     m_policy.handle(decide::upstreams_changed{upstreams});
--- a/src/program/control.hpp
+++ b/src/program/control.hpp
@@ -86,7 +86,7 @@
     void carry_out(decide::decision const& made);
     void start_booking(decide::dispatch const& to);
     void take_lists(std::shared_ptr<lists::catalogue const> const& catalogue);
-    void take_upstreams(model::upstreams const& upstreams);
+    void take_upstreams(model::upstream_list const& upstreams);
     void take_host_change(fleet::host_changed const& change);
     void take_message(std::string const& from,
                       fleet::peer_message const& message);
--- a/src/program/engine_orders.cpp
+++ b/src/program/engine_orders.cpp
@@ -81,7 +81,7 @@
 {
 }
 
-void engine_orders::list(model::hosts const& hosts)
+void engine_orders::list(model::host_list const& hosts)
 {
     fleet::order_hosts_listed listed;
     listed.revision = hosts.revision;
@@ -98,7 +98,7 @@
     tell(fleet::order_hosts_confirmed{as_of});
 }
 
-void engine_orders::use(model::upstreams const& upstreams)
+void engine_orders::use(model::upstream_list const& upstreams)
 {
     std::map<std::string, known_engine> known;
     for (model::engine const& engine : upstreams.engines) {
--- a/src/program/engine_orders.hpp
+++ b/src/program/engine_orders.hpp
@@ -3,9 +3,9 @@
 
 #include "decide/event.hpp"
 #include "fleet/orderer.hpp"
-#include "model/hosts.hpp"
+#include "model/host_list.hpp"
 #include "model/time.hpp"
-#include "model/upstreams.hpp"
+#include "model/upstream_list.hpp"
 #include "net/upstream_client.hpp"
 #include "runtime/event_loop.hpp"
 
@@ -32,9 +32,9 @@
                   std::uint64_t generation,
                   forward_hook forward);
 
-    void list(model::hosts const& hosts);
+    void list(model::host_list const& hosts);
     void confirm(model::time_point as_of);
-    void use(model::upstreams const& upstreams);
+    void use(model::upstream_list const& upstreams);
 
     /// What an engine itself says of the models that it serves.
     void report(decide::engine_report const& report);
--- a/src/program/fleet_node.hpp
+++ b/src/program/fleet_node.hpp
@@ -3,8 +3,8 @@
 
 #include "fleet/agent.hpp"
 #include "lists/catalogue.hpp"
-#include "model/hosts.hpp"
-#include "model/upstreams.hpp"
+#include "model/host_list.hpp"
+#include "model/upstream_list.hpp"
 #include "net/peer_link.hpp"
 #include "net/platform_reader.hpp"
 #include "program/list_checker.hpp"
@@ -75,8 +75,8 @@
     net::peer_link_counters link_counters() const;
 
     sigc::signal<void(std::shared_ptr<lists::catalogue const>)> lists_changed;
-    sigc::signal<void(model::upstreams const&)> upstreams_changed;
-    sigc::signal<void(model::hosts const&)> hosts_changed;
+    sigc::signal<void(model::upstream_list const&)> upstreams_changed;
+    sigc::signal<void(model::host_list const&)> hosts_changed;
     /// A published value was checked, and is in force if `accepted`.
     sigc::signal<void(bool accepted)> value_checked;
     sigc::signal<void(fleet::host_changed const&)> host_changed;
--- a/src/program/metrics.cpp
+++ b/src/program/metrics.cpp
@@ -96,8 +96,9 @@
     }
     auto const rest = ended.whole - ended.first_byte;
     bool const steady =
-        ended.tokens < 2 || rest <= kind->between_tokens * (ended.tokens - 1);
-    bool const met = steady && ended.first_byte <= kind->first_token;
+        ended.tokens < 2
+        || rest <= kind->inter_token_target * (ended.tokens - 1);
+    bool const met = steady && ended.first_byte <= kind->first_token_target;
     m_targets.Add({{"class", kind->name}, {"met", met ? "true" : "false"}})
         .Increment();
     if (met) {
--- a/src/program/routed_host.cpp
+++ b/src/program/routed_host.cpp
@@ -6,7 +6,7 @@
 #include "program/routed_flags.hpp"
 #include "program/settings_file.hpp"
 #include "runtime/log_line.hpp"
-#include "runtime/signal_stamp.hpp"
+#include "runtime/signal_time.hpp"
 
 #include <absl/flags/flag.h>
 #include <event2/event.h>
@@ -186,7 +186,7 @@
         },
         this);
     event_add(term, nullptr);
-    runtime::stamp_signal(SIGTERM);
+    runtime::record_signal_time(SIGTERM);
     event* const hup = evsignal_new(
         m_loop.base(),
         SIGHUP,
@@ -199,7 +199,7 @@
 
 void routed_host::plan_stop()
 {
-    auto const signalled = runtime::first_signal(m_loop.now());
+    auto const signalled = runtime::first_signal_time(m_loop.now());
     runtime::log_line("stopping")
         .field("callers", m_relay.callers())
         .field("noticed_after_ms",
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -32,10 +32,10 @@
                         m_relay_task.post_or_wait(std::move(message));
                     })
     {
-        m_relay_task.on_message([this](net::relay_message& message) {
+        m_relay_task.set_message_handler([this](net::relay_message& message) {
             m_relay.handle(message);
         });
-        m_control_task.on_message([this](net::relay_report& report) {
+        m_control_task.set_message_handler([this](net::relay_report& report) {
             m_control.handle(report);
         });
         m_control.on_stopped([this] {
--- a/src/runtime/event_loop.hpp
+++ b/src/runtime/event_loop.hpp
@@ -67,7 +67,7 @@
     void cancel(timer_handle timer);
 
     /// Called by the loop after `wake`.
-    void on_wake(action run)
+    void set_wake_handler(action run)
     {
         m_on_wake = std::move(run);
     }
--- a/src/runtime/log_line.cpp
+++ b/src/runtime/log_line.cpp
@@ -62,7 +62,7 @@
 
 } // namespace
 
-void log_to(std::function<void(std::string_view line)> sink)
+void set_log_sink(std::function<void(std::string_view line)> sink)
 {
     s_sink = std::move(sink);
 }
--- a/src/runtime/log_line.hpp
+++ b/src/runtime/log_line.hpp
@@ -12,7 +12,7 @@
 /// Where finished lines go; standard error unless a test says otherwise.
 ///
 /// \pre Set before any task starts.
-void log_to(std::function<void(std::string_view line)> sink);
+void set_log_sink(std::function<void(std::string_view line)> sink);
 
 /// One event as one line of key=value pairs, written when it goes out of
 /// scope. Values are quoted and escaped, so that nothing that a caller sends
--- a/src/runtime/log_output.cpp
+++ b/src/runtime/log_output.cpp
@@ -25,7 +25,7 @@
     : m_loop(loop)
     , m_descriptor(descriptor)
 {
-    log_to([this](std::string_view line) {
+    set_log_sink([this](std::string_view line) {
         write(line);
     });
 }
@@ -34,7 +34,7 @@
 {
     m_loop.cancel(m_timer);
     flush();
-    log_to([](std::string_view) {});
+    set_log_sink([](std::string_view) {});
 }
 
 void log_output::write(std::string_view line)
--- a/src/runtime/mailbox.hpp
+++ b/src/runtime/mailbox.hpp
@@ -22,12 +22,12 @@
 {
 public:
     /// What became of a message.
-    enum class result
+    enum class post_result
     {
         /// Taken, and the owner has to be woken.
-        first,
+        needs_wakeup,
         /// Taken; the owner has been woken already.
-        more,
+        queued,
         full,
     };
 
@@ -37,29 +37,31 @@
     }
 
     /// Moves from `message` only if there is room.
-    result post(Message& message)
+    post_result post(Message& message)
     {
         std::lock_guard const lock(m_mutex);
         if (m_messages.size() >= m_capacity) {
-            return result::full;
+            return post_result::full;
         }
         m_messages.push_back(std::move(message));
-        return m_messages.size() == 1 ? result::first : result::more;
+        return m_messages.size() == 1 ? post_result::needs_wakeup
+                                      : post_result::queued;
     }
 
     /// Waits for room. \pre The owner never waits for the calling task.
-    result post_or_wait(Message& message)
+    post_result post_or_wait(Message& message)
     {
         std::unique_lock lock(m_mutex);
         m_room.wait(lock, [this] {
             return m_messages.size() < m_capacity;
         });
         m_messages.push_back(std::move(message));
-        return m_messages.size() == 1 ? result::first : result::more;
+        return m_messages.size() == 1 ? post_result::needs_wakeup
+                                      : post_result::queued;
     }
 
     /// Everything posted so far, in order.
-    std::vector<Message> take()
+    std::vector<Message> take_all()
     {
         std::vector<Message> taken;
         {
--- a/src/runtime/manual_clock.hpp
+++ b/src/runtime/manual_clock.hpp
@@ -14,7 +14,7 @@
 class manual_clock
 {
 public:
-    clock view() const
+    clock as_clock() const
     {
         return clock{[now = m_now] {
             return *now;
--- a/src/runtime/signal_stamp.cpp
+++ b/src/runtime/signal_time.cpp
@@ -1,4 +1,4 @@
-#include "runtime/signal_stamp.hpp"
+#include "runtime/signal_time.hpp"
 
 #include <array>
 #include <atomic>
@@ -31,7 +31,7 @@
 
 } // namespace
 
-void stamp_signal(int signal)
+void record_signal_time(int signal)
 {
     struct sigaction with
     {
@@ -43,7 +43,7 @@
     sigaction(signal, &with, &s_before[static_cast<std::size_t>(signal)]);
 }
 
-model::time_point first_signal(model::time_point otherwise)
+model::time_point first_signal_time(model::time_point otherwise)
 {
     std::int64_t const count = s_delivered.load();
     return count == 0 ? otherwise
--- a/src/runtime/signal_stamp.hpp
+++ b/src/runtime/signal_time.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_RUNTIME_SIGNAL_STAMP_HPP
-#define CAPERJUNCTION_RUNTIME_SIGNAL_STAMP_HPP
+#ifndef CAPERJUNCTION_RUNTIME_SIGNAL_TIME_HPP
+#define CAPERJUNCTION_RUNTIME_SIGNAL_TIME_HPP
 
 #include "model/time.hpp"
 
@@ -11,11 +11,11 @@
 ///
 /// \pre A handler for `signal` is installed, and replaced by nobody later.
 /// Thread safety: none.
-void stamp_signal(int signal);
+void record_signal_time(int signal);
 
 /// When the first signal that is stamped was delivered, by the steady clock;
 /// `otherwise` if none was. Thread safety: any thread.
-model::time_point first_signal(model::time_point otherwise);
+model::time_point first_signal_time(model::time_point otherwise);
 
 } // namespace caperjunction::runtime
 
--- a/src/runtime/task.hpp
+++ b/src/runtime/task.hpp
@@ -24,8 +24,8 @@
     explicit task(clock clock = {})
         : m_loop(std::move(clock))
     {
-        m_loop.on_wake([this] {
-            drain();
+        m_loop.set_wake_handler([this] {
+            process_messages();
         });
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// \pre Set before `start`.
-    void on_message(handler handle)
+    void set_message_handler(handler handle)
     {
         m_handle = std::move(handle);
     }
@@ -69,7 +69,7 @@
     {
         auto const result = m_mailbox.post(message);
         wake_after(result);
-        return result != mailbox<Message>::result::full;
+        return result != mailbox<Message>::post_result::full;
     }
 
     /// \pre This task never waits for the calling one.
@@ -80,17 +80,17 @@
 
     /// Handles what has been posted; called by the loop, and by tests that
     /// run a task without its thread.
-    void drain()
+    void process_messages()
     {
-        for (Message& message : m_mailbox.take()) {
+        for (Message& message : m_mailbox.take_all()) {
             m_handle(message);
         }
     }
 
 private:
-    void wake_after(typename mailbox<Message>::result result)
+    void wake_after(typename mailbox<Message>::post_result result)
     {
-        if (result == mailbox<Message>::result::first) {
+        if (result == mailbox<Message>::post_result::needs_wakeup) {
             m_loop.wake();
         }
     }
--- a/tests/decide/parts_test.cpp
+++ b/tests/decide/parts_test.cpp
@@ -238,7 +238,7 @@
 TEST_CASE("a service call goes to the emptiest instance of its region")
 {
     service_table services("west");
-    model::upstreams listed;
+    model::upstream_list listed;
     listed.services = {{"ledger", "east-1", "east", "e", {}, false},
                        {"ledger", "west-1", "west", "w", {}, false},
                        {"ledger", "west-2", "west", "w", {}, false}};
--- a/tests/decide/support.hpp
+++ b/tests/decide/support.hpp
@@ -24,8 +24,8 @@
         plans.classes[place].tier = plans.tiers[place].name;
     }
     plans.classes[0].max_wait = milliseconds{5'000};
-    plans.classes[1].first_token = milliseconds{2'000};
-    plans.classes[2].first_token = milliseconds{8'000};
+    plans.classes[1].first_token_target = milliseconds{2'000};
+    plans.classes[2].first_token_target = milliseconds{8'000};
     plans.plans.push_back({"all", {"counter", "desk", "office"}, {}});
     return std::make_shared<lists::catalogue const>(plans,
                                                     lists::entitlement_list{});
@@ -122,7 +122,7 @@
 
     decide::router router{{"host-1", "west", "west-a", 1}};
     model::time_point now = model::time_point{} + std::chrono::seconds{100};
-    model::upstreams upstreams;
+    model::upstream_list upstreams;
     std::vector<decide::decision> out;
 };
 
--- a/tests/fleet/claim_fleet.hpp
+++ b/tests/fleet/claim_fleet.hpp
@@ -266,7 +266,7 @@
 
     std::shared_ptr<fleet::claim_view const> make_list() const
     {
-        model::hosts hosts;
+        model::host_list hosts;
         hosts.revision = m_revision;
         for (auto const& name : m_listed) {
             model::host host;
--- a/tests/fleet/claim_fleet_test.cpp
+++ b/tests/fleet/claim_fleet_test.cpp
@@ -350,7 +350,7 @@
 {
     // Three data centres with three, two and two hosts; any of them goes.
     fleet::claim_settings const settings;
-    model::hosts hosts;
+    model::host_list hosts;
     hosts.revision = 1;
     for (int index = 0; index < 7; ++index) {
         model::host host;
--- a/tests/fleet/configuration_test.cpp
+++ b/tests/fleet/configuration_test.cpp
@@ -114,7 +114,7 @@
     fleet->crash("a2");
     fleet->run_for(1'800s);
     fleet->start("a2");
-    model::hosts seeds;
+    model::host_list seeds;
     seeds.members = {fleet->host("b1").host, fleet->host("b2").host};
     fleet->tell("a2", fleet::hosts_listed{seeds});
     CHECK_FALSE(fleet->host("a2").agent->ready());
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -179,7 +179,7 @@
     settings.self.name = "a1";
     settings.generation = 100;
     fleet::membership member(settings);
-    model::hosts list;
+    model::host_list list;
     list.revision = 1;
     list.members.resize(2);
     list.members[0].name = "a1";
--- a/tests/lists/bad_input_test.cpp
+++ b/tests/lists/bad_input_test.cpp
@@ -173,7 +173,7 @@
     lists::entitlement_list entitlements;
     entitlements.models.push_back({"m", 100});
     entitlements.services.push_back({"booking", "kolkatta", {}});
-    model::hosts hosts;
+    model::host_list hosts;
     model::host only;
     only.region = "kolkata";
     hosts.members.push_back(only);
--- a/tests/lists/examples_test.cpp
+++ b/tests/lists/examples_test.cpp
@@ -52,8 +52,8 @@
     std::vector<lists::fault> faults;
     lists::plan_list plans;
     lists::entitlement_list entitlements;
-    model::hosts hosts;
-    model::upstreams upstreams;
+    model::host_list hosts;
+    model::upstream_list upstreams;
 };
 
 void check_faultless(example const& shown)
--- a/tests/net/hand_over_test.cpp
+++ b/tests/net/hand_over_test.cpp
@@ -47,7 +47,7 @@
                     });
                     return true;
                 });
-            model::upstreams listed;
+            model::upstream_list listed;
             listed.engines.push_back(
                 {"engine-0", "west", "west-a", engine.address(), {}});
             tell(place, net::use_upstreams{listed});
--- a/tests/net/peer_link_test.cpp
+++ b/tests/net/peer_link_test.cpp
@@ -86,7 +86,7 @@
     }
 
     runtime::manual_clock clock;
-    runtime::event_loop loop{clock.view()};
+    runtime::event_loop loop{clock.as_clock()};
 };
 
 void introduce(std::vector<peer*> const& peers)
--- a/tests/program/engine_orders_test.cpp
+++ b/tests/program/engine_orders_test.cpp
@@ -20,7 +20,7 @@
 struct ordering_host
 {
     explicit ordering_host(std::vector<std::string> const& names)
-        : loop(time.view())
+        : loop(time.as_clock())
         , engine(loop.base(), checking())
         , orders(loop,
                  "host-1",
@@ -29,15 +29,15 @@
                      forwarded.push_back(to + " " + wish.model);
                  })
     {
-        runtime::log_to([](std::string_view /*line*/) {});
-        model::hosts hosts;
+        runtime::set_log_sink([](std::string_view /*line*/) {});
+        model::host_list hosts;
         hosts.revision = 3;
         for (std::string const& name : names) {
             hosts.members.push_back({name, "west", "west-a", {}, {}, false});
         }
         orders.list(hosts);
         orders.confirm(loop.now());
-        model::upstreams upstreams;
+        model::upstream_list upstreams;
         upstreams.engines.push_back(
             {"engine-1", "west", "west-a", engine.address(), {"drafter"}});
         upstreams.engines[0].checks_fencing = true;
--- a/tests/program/site.cpp
+++ b/tests/program/site.cpp
@@ -29,7 +29,7 @@
 site::site(site_options options)
     : m_client(loop, {})
 {
-    runtime::log_to([](std::string_view /*line*/) {});
+    runtime::set_log_sink([](std::string_view /*line*/) {});
     for (std::size_t place = 0; place < options.engines; ++place) {
         stand_ins::engine_settings engine;
         engine.tokens_per_second = options.tokens_per_second;
--- a/tests/runtime/event_loop_test.cpp
+++ b/tests/runtime/event_loop_test.cpp
@@ -13,7 +13,7 @@
 TEST_CASE("a timer that is late by many periods runs once")
 {
     runtime::manual_clock time;
-    runtime::event_loop loop(time.view());
+    runtime::event_loop loop(time.as_clock());
     int runs = 0;
     loop.every(10ms, [&runs] {
         ++runs;
@@ -29,7 +29,7 @@
 TEST_CASE("a cancelled timer does not run")
 {
     runtime::manual_clock time;
-    runtime::event_loop loop(time.view());
+    runtime::event_loop loop(time.as_clock());
     int runs = 0;
     auto const timer = loop.after(5ms, [&runs] {
         ++runs;
--- a/tests/runtime/log_line_test.cpp
+++ b/tests/runtime/log_line_test.cpp
@@ -11,7 +11,7 @@
 std::string logged(std::string const& value)
 {
     std::string line;
-    runtime::log_to([&line](std::string_view text) {
+    runtime::set_log_sink([&line](std::string_view text) {
         line = text;
     });
     runtime::log_line("test").field("key", value);
--- a/tests/runtime/mailbox_test.cpp
+++ b/tests/runtime/mailbox_test.cpp
@@ -13,10 +13,10 @@
     runtime::mailbox<std::string> box(1);
     std::string first = "first";
     std::string second = "second";
-    using result = runtime::mailbox<std::string>::result;
-    CHECK(box.post(first) == result::first);
-    CHECK(box.post(second) == result::full);
+    using post_result = runtime::mailbox<std::string>::post_result;
+    CHECK(box.post(first) == post_result::needs_wakeup);
+    CHECK(box.post(second) == post_result::full);
     CHECK(second == "second");
-    CHECK(box.take().size() == 1);
-    CHECK(box.post(second) == result::first);
+    CHECK(box.take_all().size() == 1);
+    CHECK(box.post(second) == post_result::needs_wakeup);
 }
--- a/tests/runtime/signal_stamp_test.cpp
+++ b/tests/runtime/signal_time_test.cpp
@@ -1,5 +1,5 @@
 #include "runtime/event_loop.hpp"
-#include "runtime/signal_stamp.hpp"
+#include "runtime/signal_time.hpp"
 
 #include <doctest/doctest.h>
 #include <event2/event.h>
@@ -25,9 +25,9 @@
         },
         &handled);
     event_add(term, nullptr);
-    runtime::stamp_signal(SIGUSR1);
+    runtime::record_signal_time(SIGUSR1);
     auto const before = loop.now();
-    CHECK(runtime::first_signal(before) == before);
+    CHECK(runtime::first_signal_time(before) == before);
     std::raise(SIGUSR1);
     auto const after = loop.now();
     std::this_thread::sleep_for(50ms);
@@ -35,8 +35,8 @@
     std::raise(SIGUSR1);
     loop.poll();
     CHECK(handled);
-    CHECK(runtime::first_signal(loop.now()) >= before);
-    CHECK(runtime::first_signal(loop.now()) <= after);
+    CHECK(runtime::first_signal_time(loop.now()) >= before);
+    CHECK(runtime::first_signal_time(loop.now()) <= after);
     event_free(term);
 }
 
