--- a/src/decide/replay.cpp
+++ b/src/decide/replay.cpp
@@ -70,7 +70,7 @@
         lists::service_class added;
         added.name = line.text("name");
         added.tier = line.text("tier");
-        added.first_token =
+        added.first_token_target =
             model::milliseconds{line.number("first_token", 490)};
         added.max_wait = model::milliseconds{line.number("max_wait", 5000)};
         m_plans.classes.push_back(added);
@@ -171,7 +171,7 @@
     router m_router{{"host-1", default_region, "west-a", 1}};
     model::time_point m_now = start;
     lists::plan_list m_plans;
-    model::upstreams m_upstreams;
+    model::upstream_list m_upstreams;
     std::string m_log;
 };
 
--- a/src/fleet/agent_event.hpp
+++ b/src/fleet/agent_event.hpp
@@ -3,7 +3,7 @@
 
 #include "fleet/host_view.hpp"
 #include "fleet/peer_message.hpp"
-#include "model/hosts.hpp"
+#include "model/host_list.hpp"
 
 #include <cstdint>
 #include <memory>
@@ -17,7 +17,7 @@
 /// can't reach the service is told of some peers by its settings, revision 0.
 struct hosts_listed
 {
-    model::hosts hosts;
+    model::host_list hosts;
 };
 
 /// A peer sent a message over the link.
@@ -54,7 +54,7 @@
 };
 
 /// The router's latest digest, to be sent to peers.
-struct digest_made
+struct digest_updated
 {
     std::vector<std::uint8_t> bytes;
 };
@@ -71,7 +71,7 @@
                                  stop_planned,
                                  value_read,
                                  read_ended,
-                                 digest_made,
+                                 digest_updated,
                                  agent_tick>;
 
 } // namespace caperjunction::fleet
--- a/src/net/relay.cpp
+++ b/src/net/relay.cpp
@@ -96,7 +96,7 @@
                message);
 }
 
-void relay::use(model::upstreams const& upstreams)
+void relay::use(model::upstream_list const& upstreams)
 {
     m_addresses.clear();
     for (model::engine const& engine : upstreams.engines) {
@@ -219,7 +219,7 @@
     if (give_back) {
         report(hand_over_over{
             held->from_host,
-            {no.id, fleet::handover_result::refused, no.outcome, no.reason}});
+            {no.id, fleet::hand_over_result::refused, no.outcome, no.reason}});
     } else if (held->caller && held->begun) {
         held->caller->events(
             fmt::format("data: {}\n\n{}",
--- a/src/net/relay.hpp
+++ b/src/net/relay.hpp
@@ -63,7 +63,7 @@
     void refuse(decide::refuse const& refuse);
     void answer_stored(answer_again const& answer);
     void account();
-    void use(model::upstreams const& upstreams);
+    void use(model::upstream_list const& upstreams);
     exchange* find(model::request_id id);
 
     // Attempts at upstreams.
@@ -87,7 +87,7 @@
     caller_sink make_peer_sink(std::string const& host, model::request_id id);
     void take(take_part const& part);
     void take(take_end const& end);
-    void take_broken_end(exchange& held, fleet::handover_end const& end);
+    void take_broken_end(exchange& held, fleet::hand_over_end const& end);
     void cancel(cancel_handed_over const& cancel);
     void lose(lose_host const& lost);
 
--- a/src/net/relay_message.hpp
+++ b/src/net/relay_message.hpp
@@ -5,7 +5,7 @@
 #include "fleet/hand_over_message.hpp"
 #include "lists/catalogue.hpp"
 #include "model/time.hpp"
-#include "model/upstreams.hpp"
+#include "model/upstream_list.hpp"
 
 #include <memory>
 #include <string>
@@ -22,7 +22,7 @@
 /// Addresses of the upstreams from now on.
 struct use_upstreams
 {
-    model::upstreams upstreams;
+    model::upstream_list upstreams;
 };
 
 /// Dispatch a call that may run only once; not after `until`.
@@ -45,21 +45,21 @@
 struct serve_handed_over
 {
     std::string from;
-    fleet::handover_request request;
+    fleet::hand_over_request request;
 };
 
 /// Part of an answer that another host gives for this one.
 struct take_part
 {
     std::string from;
-    fleet::handover_chunk chunk;
+    fleet::hand_over_chunk chunk;
 };
 
 /// The end of such an answer.
 struct take_end
 {
     std::string from;
-    fleet::handover_end end;
+    fleet::hand_over_end end;
 };
 
 /// The other host's caller hung up.
--- a/src/program/engine_orders.cpp
+++ b/src/program/engine_orders.cpp
@@ -25,8 +25,8 @@
 net::upstream_timeouts order_timeouts()
 {
     net::upstream_timeouts timeouts;
-    timeouts.first_byte = fleet::order_settings{}.flight;
-    timeouts.progress = fleet::order_settings{}.flight;
+    timeouts.first_byte = fleet::order_settings{}.delivery_timeout;
+    timeouts.progress = fleet::order_settings{}.delivery_timeout;
     return timeouts;
 }
 
@@ -81,7 +81,7 @@
 {
 }
 
-void engine_orders::list(model::hosts const& hosts)
+void engine_orders::list(model::host_list const& hosts)
 {
     fleet::order_hosts_listed listed;
     listed.revision = hosts.revision;
@@ -98,7 +98,7 @@
     tell(fleet::order_hosts_confirmed{as_of});
 }
 
-void engine_orders::use(model::upstreams const& upstreams)
+void engine_orders::use(model::upstream_list const& upstreams)
 {
     std::map<std::string, known_engine> known;
     for (model::engine const& engine : upstreams.engines) {
@@ -132,9 +132,9 @@
     tell(listed);
 }
 
-void engine_orders::wish(fleet::order_wish const& wish, bool forwarded)
+void engine_orders::wish(fleet::order_request const& wish, bool forwarded)
 {
-    tell(fleet::order_wished{wish, forwarded});
+    tell(fleet::order_requested{wish, forwarded});
 }
 
 void engine_orders::tick()
@@ -152,8 +152,8 @@
     std::vector<fleet::order_decision> decisions;
     m_orderer.handle(event, m_loop.now(), decisions);
     for (fleet::order_decision const& made : decisions) {
-        if (auto const* on = std::get_if<fleet::order_wish_forward>(&made)) {
-            m_forward(on->to, on->wish);
+        if (auto const* on = std::get_if<fleet::order_request_forward>(&made)) {
+            m_forward(on->to, on->request);
         } else if (auto const* go = std::get_if<fleet::order_send>(&made)) {
             send(go->order);
         }
--- a/src/program/routed_host.cpp
+++ b/src/program/routed_host.cpp
@@ -6,7 +6,7 @@
 #include "program/routed_flags.hpp"
 #include "program/settings_file.hpp"
 #include "runtime/log_line.hpp"
-#include "runtime/signal_stamp.hpp"
+#include "runtime/signal_time.hpp"
 
 #include <absl/flags/flag.h>
 #include <event2/event.h>
@@ -107,7 +107,7 @@
                                    std::uint64_t revision) {
             routing::store_revisions const before = m_context.known;
             m_beliefs.commit(revision);
-            m_context.keys.confirm(as_of);
+            m_context.keys.renew(as_of);
             broadcast_change(before);
         };
         call.on_lost = [this](proxy::store_failure const& loss) {
@@ -144,7 +144,7 @@
     m_context.on_limit_unreadable = [](routing::upstream_state const& from,
                                        std::string const& text) {
         runtime::log_line("upstream_limit_unreadable")
-            .field("upstream", from.about.id)
+            .field("upstream", from.description.id)
             .field("text", text);
     };
     m_context.on_retried = [this](proxy::exchange_report const& tried) {
@@ -186,7 +186,7 @@
         },
         this);
     event_add(term, nullptr);
-    runtime::stamp_signal(SIGTERM);
+    runtime::record_signal_time(SIGTERM);
     event* const hup = evsignal_new(
         m_loop.base(),
         SIGHUP,
@@ -199,7 +199,7 @@
 
 void routed_host::plan_stop()
 {
-    auto const signalled = runtime::first_signal(m_loop.now());
+    auto const signalled = runtime::first_signal_time(m_loop.now());
     runtime::log_line("stopping")
         .field("callers", m_relay.callers())
         .field("noticed_after_ms",
--- a/src/proxy/limit_notices.hpp
+++ b/src/proxy/limit_notices.hpp
@@ -24,7 +24,7 @@
 void apply_advertised_limits(relay_context& context);
 
 /// What this host's own answers have said, for the others.
-std::vector<routing::told_limit>
+std::vector<routing::advertised_limit>
 limits_to_advertise(relay_context const& context);
 
 } // namespace caperjunction::proxy
