--- a/src/decide/core_attempt.cpp
+++ b/src/decide/core_attempt.cpp
@@ -14,8 +14,8 @@
 constexpr std::uint32_t max_attempts = 12;
 // Broken attempts kept until it is known whether the engine was lost.
 constexpr std::size_t max_broken_records = 512;
-// An answer beyond its expected length is expected to grow by this fraction, so
-// that it is not charged again for each token.
+// An answer beyond its expected length is expected to grow by one part in this
+// number, so that it is not charged again for each token.
 constexpr std::uint32_t overrun_divisor = 4;
 
 } // namespace
--- a/src/decide/core_refuse.cpp
+++ b/src/decide/core_refuse.cpp
@@ -13,8 +13,8 @@
 constexpr model::milliseconds max_retry_after{600'000};
 // Upper bound for a delay that is predicted from the length of overload.
 constexpr model::milliseconds max_forecast{300'000};
-// A tier counts as refused above this rate, so that a single refusal does not
-// count.
+// A tier counts as refused while its refusal rate is above the minimum, so that
+// a single refusal counts only briefly.
 constexpr model::milliseconds refusal_horizon{2000};
 constexpr double min_refusal_rate = 0.1;
 constexpr char const* retry_remedy =
@@ -38,7 +38,7 @@
 
 bool core::misses_deadline(entry const& waiting) const
 {
-    // A request that an engine has already started must be completed.
+    // A request that was handed to an engine before must be completed.
     if (waiting.attempt > 0) {
         return false;
     }
@@ -78,8 +78,8 @@
 
 void core::refuse_late(entry& waiting)
 {
-    // The request misses its target and is refused at once. Further waiting
-    // would only keep the caller from retrying when there is capacity.
+    // The request is given up, so it is refused at once. Further waiting would
+    // only keep the caller from retrying when there is capacity.
     dequeue(waiting);
     if (try_hand_over(waiting, "late_here")) {
         return;
@@ -94,7 +94,7 @@
 void core::evict_if_full(entry const& arriving)
 {
     // Memory is bounded. When the queues are full, the newest request of the
-    // lowest tier is evicted: it has waited least and has the weakest target.
+    // lowest tier is evicted: it has waited least and has the lowest guarantee.
     std::size_t total = 0;
     for (model_group const& group : m_engines.groups()) {
         total += group.queue.size();
--- a/src/decide/engine_state.cpp
+++ b/src/decide/engine_state.cpp
@@ -188,12 +188,12 @@
     m_history_end = (m_history_end + 1) % history_size;
 }
 
-std::uint32_t engine_state::local_count_at(model::time_point measured) const
+std::uint32_t engine_state::local_count_at(model::time_point measured_at) const
 {
     std::uint32_t closest = local_count();
     model::time_point earliest = model::time_point::max();
     for (load_sample const& past : m_history) {
-        if (past.at >= measured && past.at < earliest) {
+        if (past.at >= measured_at && past.at < earliest) {
             earliest = past.at;
             closest = past.local_count;
         }
--- a/src/decide/engine_state.hpp
+++ b/src/decide/engine_state.hpp
@@ -141,7 +141,7 @@
     };
 
     void record_history(model::time_point now);
-    std::uint32_t local_count_at(model::time_point measured) const;
+    std::uint32_t local_count_at(model::time_point measured_at) const;
     void increase_limit(model::time_point now);
     void decrease_limit(model::time_point now);
 
--- a/src/decide/model_shifter.cpp
+++ b/src/decide/model_shifter.cpp
@@ -42,14 +42,14 @@
                model::time_point now)
 {
     double outstanding = 0.0;
-    double bound = 0.0;
+    double limit = 0.0;
     std::size_t const count = std::min(group.engines.size(), sampled_engines);
     for (std::size_t position = 0; position < count; ++position) {
         engine_state const& engine = engines.at(group.engines[position]);
         outstanding += engine.outstanding(now);
-        bound += engine.concurrency_limit();
+        limit += engine.concurrency_limit();
     }
-    return bound > 0.0 ? outstanding / bound : 1.0;
+    return limit > 0.0 ? outstanding / limit : 1.0;
 }
 
 } // namespace
