--- a/src/proxy/answer_sink.hpp
+++ b/src/proxy/answer_sink.hpp
@@ -13,7 +13,7 @@
     std::function<void(std::string_view)> write;
     /// The answer is whole, or (false) will never be: the connection is cut,
     /// so that it can't be taken for whole.
-    std::function<void(bool whole)> end;
+    std::function<void(bool complete)> end;
     /// Whether the connection can serve another request afterwards; what the
     /// answer's head then says holds.
     std::function<bool()> keeps_alive;
--- a/src/proxy/caller.cpp
+++ b/src/proxy/caller.cpp
@@ -7,7 +7,7 @@
 namespace caperjunction::proxy {
 namespace {
 
-constexpr std::string_view go_on = "HTTP/1.1 100 Continue\r\n\r\n";
+constexpr std::string_view continue_response = "HTTP/1.1 100 Continue\r\n\r\n";
 
 } // namespace
 
@@ -17,13 +17,13 @@
     , m_on_closed(std::move(on_closed))
     , m_reader(HTTP_REQUEST,
                {[this](message_head&& head) {
-                    take_head(std::move(head));
+                    handle_head(std::move(head));
                 },
                 [this](std::string_view bytes) {
-                    take_body(bytes);
+                    handle_body(bytes);
                 },
                 [this] {
-                    begin_exchange();
+                    start_exchange();
                 }})
 {
 }
@@ -41,62 +41,62 @@
 
 void caller::release_body()
 {
-    m_context.buffered_bytes -= std::exchange(m_held, 0);
+    m_context.buffered_bytes -= std::exchange(m_buffered_bytes, 0);
 }
 
 void caller::serve(int socket)
 {
-    m_since = m_context.loop.now();
-    m_longest_rest = limits().idle_timeout;
+    m_phase_start = m_context.loop.now();
+    m_idle_timeout = limits().idle_timeout;
     // The hooks keep this caller alive until its connection is over.
     auto const self = shared_from_this();
     m_stream = tcp_stream::adopt(m_context.loop,
                                  socket,
                                  {nullptr,
                                   [self](std::string_view bytes) {
-                                      self->take(bytes);
+                                      self->handle_data(bytes);
                                   },
                                   [self](connection_end how) {
                                       self->connection_ended(how);
                                   },
                                   [self] {
-                                      self->drained();
+                                      self->handle_drained();
                                   }});
 }
 
-void caller::drained()
+void caller::handle_drained()
 {
     if (m_exchange) {
-        m_exchange->drained();
+        m_exchange->handle_drained();
         return;
     }
     // The caller rests from here on, not from its answer's end at this host.
     if (m_reader.is_between_messages()) {
-        m_since = m_context.loop.now();
+        m_phase_start = m_context.loop.now();
     }
 }
 
-void caller::take(std::string_view bytes)
+void caller::handle_data(std::string_view bytes)
 {
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     if (m_closing) {
         return;
     }
     if (m_exchange || !m_pending.empty()) {
         m_pending.append(bytes);
-        if (m_pending.size() > most_pending) {
+        if (m_pending.size() > max_pending) {
             m_stream->enable_reading(false);
         }
         return;
     }
-    feed(bytes);
+    parse(bytes);
 }
 
-void caller::feed(std::string_view bytes)
+void caller::parse(std::string_view bytes)
 {
     m_reader.set_max_head_bytes(limits().header_bytes);
     if (m_reader.is_between_messages()) {
-        m_since = m_context.loop.now();
+        m_phase_start = m_context.loop.now();
     }
     while (!bytes.empty() && !m_exchange && !m_closing) {
         bytes.remove_prefix(m_reader.feed(bytes));
@@ -115,7 +115,7 @@
     m_pending.append(bytes);
 }
 
-void caller::take_head(message_head&& head)
+void caller::handle_head(message_head&& head)
 {
     m_head = std::move(head);
     m_body.clear();
@@ -126,17 +126,17 @@
     }
     std::string const* const expected = m_head.find("Expect");
     if (expected != nullptr && header_names_equal(*expected, "100-continue")) {
-        m_stream->write(go_on);
+        m_stream->write(continue_response);
     }
 }
 
-void caller::take_body(std::string_view bytes)
+void caller::handle_body(std::string_view bytes)
 {
     if (m_closing) {
         return;
     }
     m_body.append(bytes);
-    m_held += bytes.size();
+    m_buffered_bytes += bytes.size();
     m_context.buffered_bytes += bytes.size();
     if (m_context.buffered_bytes > m_context.settings.max_buffered_bytes) {
         reject(routing::refusal_reason::host_full);
@@ -155,56 +155,56 @@
 
 bool caller::announce_keep_alive()
 {
-    m_announced = keeps_alive();
-    return m_announced;
+    m_keep_alive_announced = keeps_alive();
+    return m_keep_alive_announced;
 }
 
 bool caller::is_connected()
 {
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     m_stream->read_available();
     return !m_closing;
 }
 
-void caller::begin_exchange()
+void caller::start_exchange()
 {
     m_has_head = false;
-    m_announced = false;
+    m_keep_alive_announced = false;
     if (m_closing) {
         return;
     }
     std::weak_ptr<caller> const weak = weak_from_this();
-    answer_sink port;
-    port.write = [weak](std::string_view bytes) {
-        if (auto const own = weak.lock()) {
-            own->m_stream->write(bytes);
+    answer_sink sink;
+    sink.write = [weak](std::string_view bytes) {
+        if (auto const self = weak.lock()) {
+            self->m_stream->write(bytes);
         }
     };
-    port.end = [weak](bool whole) {
-        if (auto const own = weak.lock()) {
-            own->end_exchange(whole);
+    sink.end = [weak](bool complete) {
+        if (auto const self = weak.lock()) {
+            self->end_exchange(complete);
         }
     };
-    port.keeps_alive = [weak] {
-        auto const own = weak.lock();
-        return own && own->announce_keep_alive();
+    sink.keeps_alive = [weak] {
+        auto const self = weak.lock();
+        return self && self->announce_keep_alive();
     };
-    port.is_connected = [weak] {
-        auto const own = weak.lock();
-        return own && own->is_connected();
+    sink.is_connected = [weak] {
+        auto const self = weak.lock();
+        return self && self->is_connected();
     };
-    port.unsent_bytes = [weak] {
-        auto const own = weak.lock();
-        return own ? own->m_stream->unsent_bytes() : 0;
+    sink.unsent_bytes = [weak] {
+        auto const self = weak.lock();
+        return self ? self->m_stream->unsent_bytes() : 0;
     };
     m_exchange = std::make_shared<exchange>(m_context,
                                             m_head,
                                             std::move(m_body),
-                                            std::move(port),
+                                            std::move(sink),
                                             m_context.boot_now());
     m_body = {};
-    auto const begun = m_exchange;
-    begun->start();
+    auto const current = m_exchange;
+    current->start();
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/caller.hpp
+++ b/src/proxy/caller.hpp
@@ -36,7 +36,7 @@
 
     /// Closes the connection if no request is on its way, none has come by
     /// now, and the last answer is at least `rest` old.
-    void close_if_idle(model::milliseconds rest);
+    void close_if_idle(model::milliseconds min_idle);
 
     /// The process is about to end: gives a final answer to the request that
     /// is served, and closes the connection.
@@ -55,21 +55,21 @@
 
 private:
     /// Bytes of a next request that are held while one is served.
-    static constexpr std::size_t most_pending = 65'536;
+    static constexpr std::size_t max_pending = 65'536;
 
-    void take(std::string_view bytes);
-    void take_pending();
-    void drained();
-    void check_slow();
-    void feed(std::string_view bytes);
-    void take_head(message_head&& head);
-    void take_body(std::string_view bytes);
-    void begin_exchange();
-    void end_exchange(bool whole);
+    void handle_data(std::string_view bytes);
+    void handle_pending();
+    void handle_drained();
+    void check_slow_request();
+    void parse(std::string_view bytes);
+    void handle_head(message_head&& head);
+    void handle_body(std::string_view bytes);
+    void start_exchange();
+    void end_exchange(bool complete);
     void reject(routing::refusal_reason reason);
     void release_body();
     void connection_ended(connection_end how);
-    void finish();
+    void close_gracefully();
     void report_end(close_report const& left);
     std::string_view activity() const;
     std::string_view request_id() const;
@@ -77,7 +77,7 @@
     bool announce_keep_alive();
     bool is_connected();
     routing::caller_limits const& limits() const;
-    model::milliseconds rested() const;
+    model::milliseconds elapsed() const;
 
     relay_context& m_context;
     std::function<void(caller const*)> m_on_closed;
@@ -88,16 +88,16 @@
     /// Bytes that came while a request was being served.
     std::string m_pending;
     std::shared_ptr<exchange> m_exchange;
-    std::size_t m_held = 0;
+    std::size_t m_buffered_bytes = 0;
     bool m_has_head = false;
     bool m_closing = false;
     /// The present answer's head lets the caller send another request.
-    bool m_announced = false;
+    bool m_keep_alive_announced = false;
     /// The idle limit that stood when the connection began to rest.
-    model::milliseconds m_longest_rest{0};
+    model::milliseconds m_idle_timeout{0};
     /// When the present request's first byte, or the last answer's last,
     /// went by.
-    model::time_point m_since{};
+    model::time_point m_phase_start{};
 };
 
 } // namespace caperjunction::proxy
--- a/src/proxy/caller_end.cpp
+++ b/src/proxy/caller_end.cpp
@@ -8,17 +8,17 @@
 
 namespace caperjunction::proxy {
 
-void caller::end_exchange(bool whole)
+void caller::end_exchange(bool complete)
 {
-    auto const keep = shared_from_this();
-    if (!whole) {
+    auto const guard = shared_from_this();
+    if (!complete) {
         report_end({connection_end::own_close, m_stream->unsent_bytes(), 0});
     }
     m_exchange.reset();
     release_body();
-    m_since = m_context.loop.now();
-    m_longest_rest = limits().idle_timeout;
-    if (!whole) {
+    m_phase_start = m_context.loop.now();
+    m_idle_timeout = limits().idle_timeout;
+    if (!complete) {
         // A plain end could be taken for that of a body without length.
         m_closing = true;
         m_stream->reset();
@@ -27,8 +27,8 @@
     }
     // A caller that was told that it may send another request does so at
     // once, whatever has come about since.
-    if (!m_announced) {
-        finish();
+    if (!m_keep_alive_announced) {
+        close_gracefully();
         return;
     }
     if (m_pending.empty()) {
@@ -38,26 +38,26 @@
     // Not from here: the answer's last hook is still running.
     std::weak_ptr<caller> const weak = weak_from_this();
     m_context.loop.defer([weak] {
-        if (auto const own = weak.lock()) {
-            own->take_pending();
+        if (auto const self = weak.lock()) {
+            self->handle_pending();
         }
     });
 }
 
-void caller::take_pending()
+void caller::handle_pending()
 {
     if (m_exchange || m_closing) {
         return;
     }
-    feed(std::exchange(m_pending, {}));
-    if (!m_closing && m_pending.size() <= most_pending) {
+    parse(std::exchange(m_pending, {}));
+    if (!m_closing && m_pending.size() <= max_pending) {
         m_stream->enable_reading(true);
     }
 }
 
 void caller::reject(routing::refusal_reason reason)
 {
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     m_closing = true;
     m_body = {};
     release_body();
@@ -75,15 +75,15 @@
     if (m_context.on_ended) {
         m_context.on_ended(report);
     }
-    finish();
+    close_gracefully();
 }
 
 void caller::connection_ended(connection_end how)
 {
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     report_end({how, m_stream->unsent_bytes(), 0});
-    if (auto const begun = std::exchange(m_exchange, nullptr)) {
-        begun->cancel(to_string(how));
+    if (auto const current = std::exchange(m_exchange, nullptr)) {
+        current->cancel(to_string(how));
     }
     if (!m_closing) {
         m_closing = true;
@@ -93,9 +93,9 @@
 
 void caller::stop()
 {
-    auto const keep = shared_from_this();
-    if (auto const begun = m_exchange) {
-        begun->stop();
+    auto const guard = shared_from_this();
+    if (auto const current = m_exchange) {
+        current->stop();
         return;
     }
     close_if_idle(model::milliseconds{0});
@@ -103,18 +103,18 @@
 
 void caller::abort()
 {
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     report_end({connection_end::own_close, m_stream->unsent_bytes(), 0});
     m_closing = true;
-    if (auto const begun = std::exchange(m_exchange, nullptr)) {
-        begun->cancel(to_string(connection_end::own_close));
+    if (auto const current = std::exchange(m_exchange, nullptr)) {
+        current->cancel(to_string(connection_end::own_close));
     }
     m_stream->close();
 }
 
 // A last answer may still be on its way out, and the process must not end
 // before it is: the connection is over when the other side has closed too.
-void caller::finish()
+void caller::close_gracefully()
 {
     m_closing = true;
     auto const self = shared_from_this();
@@ -152,14 +152,14 @@
     report.id = request_id();
     report.unsent_bytes = left.unsent_bytes;
     report.late_bytes = left.late_bytes + m_pending.size();
-    report.elapsed = rested();
+    report.elapsed = elapsed();
     m_context.on_connection_ended(report);
 }
 
-model::milliseconds caller::rested() const
+model::milliseconds caller::elapsed() const
 {
     return std::chrono::duration_cast<model::milliseconds>(m_context.loop.now()
-                                                           - m_since);
+                                                           - m_phase_start);
 }
 
 void caller::check_timeouts()
@@ -168,25 +168,25 @@
         return;
     }
     if (m_reader.is_between_messages()) {
-        auto const most = std::max(m_longest_rest, limits().idle_timeout);
-        if (m_stream->unsent_bytes() > 0 && rested() > most) {
-            finish();
+        auto const limit = std::max(m_idle_timeout, limits().idle_timeout);
+        if (m_stream->unsent_bytes() > 0 && elapsed() > limit) {
+            close_gracefully();
             return;
         }
-        close_if_idle(most);
+        close_if_idle(limit);
         return;
     }
-    check_slow();
+    check_slow_request();
 }
 
-void caller::check_slow()
+void caller::check_slow_request()
 {
-    auto const most =
+    auto const limit =
         m_has_head ? limits().idle_timeout : limits().header_timeout;
-    if (rested() <= most) {
+    if (elapsed() <= limit) {
         return;
     }
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     // The rest may be here, and this host late.
     m_stream->read_available();
     if (!m_exchange && !m_closing && !m_reader.is_between_messages()) {
@@ -196,12 +196,12 @@
 
 // A request that crosses the close must stay unread: its caller is then told
 // by a reset, and may send it again.
-void caller::close_if_idle(model::milliseconds rest)
+void caller::close_if_idle(model::milliseconds min_idle)
 {
-    if (is_busy() || m_closing || rested() < rest) {
+    if (is_busy() || m_closing || elapsed() < min_idle) {
         return;
     }
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     // A request that is here already is served.
     m_stream->read_available();
     if (is_busy() || m_closing) {
--- a/src/proxy/digest_codec.cpp
+++ b/src/proxy/digest_codec.cpp
@@ -56,13 +56,13 @@
 
 routing::told_limit from_wire(wire::Limit const& from)
 {
-    routing::told_limit made;
-    made.upstream = from.upstream();
-    made.age = model::milliseconds(from.age_ms());
+    routing::told_limit result;
+    result.upstream = from.upstream();
+    result.age = model::milliseconds(from.age_ms());
     if (from.millis_a_second() != no_limit) {
-        made.a_second = from.millis_a_second() / parts_a_second;
+        result.a_second = from.millis_a_second() / parts_a_second;
     }
-    return made;
+    return result;
 }
 
 using load_list = flatbuffers::Vector<wire::Work const*>;
@@ -92,14 +92,14 @@
 
 routing::peer_load from_wire(wire::Work const& from)
 {
-    routing::peer_load made;
-    made.upstream = from.upstream();
-    made.load = {from.running(), from.unread_tokens(), from.urgent()};
-    made.pace.voters = from.slowness() == 0 ? 0 : 1;
-    made.pace.slowness =
-        made.pace.voters == 0 ? 1.0 : from.slowness() / slowness_parts;
-    made.pace.pause = model::milliseconds(from.pause_ms());
-    return made;
+    routing::peer_load result;
+    result.upstream = from.upstream();
+    result.load = {from.running(), from.unread_tokens(), from.urgent()};
+    result.pace.voters = from.slowness() == 0 ? 0 : 1;
+    result.pace.slowness =
+        result.pace.voters == 0 ? 1.0 : from.slowness() / slowness_parts;
+    result.pace.pause = model::milliseconds(from.pause_ms());
+    return result;
 }
 
 flatbuffers::Offset<load_list>
@@ -149,42 +149,42 @@
     auto const beyond_list = to_wire(builder, from.beyond);
     auto const suspect_list = builder.CreateVectorOfStructs(suspects);
     auto const neighbour_list = builder.CreateVectorOfStructs(neighbours);
-    wire::DigestBuilder made(builder);
-    made.add_generation(from.generation);
-    made.add_sequence(from.sequence);
-    made.add_stamp(micros_of(frame.stamp));
+    wire::DigestBuilder result(builder);
+    result.add_generation(from.generation);
+    result.add_sequence(from.sequence);
+    result.add_stamp(micros_of(frame.stamp));
     if (frame.echoed) {
-        made.add_echoed_stamp(micros_of(*frame.echoed));
-        made.add_echo_held_us(
+        result.add_echoed_stamp(micros_of(*frame.echoed));
+        result.add_echo_held_us(
             static_cast<std::uint32_t>(frame.echo_held.count()));
     }
 
     if (frame.confirmed_age) {
-        made.add_has_confirmed(true);
-        made.add_confirmed_age_us(
+        result.add_has_confirmed(true);
+        result.add_confirmed_age_us(
             static_cast<std::uint64_t>(frame.confirmed_age->count()));
     }
-    made.add_hosts_seen(from.hosts_seen);
-    made.add_works(load_list);
-    made.add_suspects(suspect_list);
-    made.add_neighbours(neighbour_list);
-    made.add_hosts_here(from.hosts_here);
-    made.add_hosts_alive(from.hosts_alive);
-    made.add_centres(from.centres);
-    made.add_relays(from.relays);
-    made.add_asks(from.asks);
+    result.add_hosts_seen(from.hosts_seen);
+    result.add_works(load_list);
+    result.add_suspects(suspect_list);
+    result.add_neighbours(neighbour_list);
+    result.add_hosts_here(from.hosts_here);
+    result.add_hosts_alive(from.hosts_alive);
+    result.add_centres(from.centres);
+    result.add_relays(from.relays);
+    result.add_asks(from.asks);
     // Earlier versions take it for all changes, and confirm keys by it.
-    made.add_revision(std::max(
+    result.add_revision(std::max(
         {from.known.upstreams, from.known.configuration, from.known.checked}));
-    made.add_upstreams_revision(from.known.upstreams);
-    made.add_configuration_revision(from.known.configuration);
-    made.add_configuration_checked(from.known.checked);
-    made.add_data_centre(from.data_centre);
-    made.add_speaks(from.speaks);
-    made.add_limits(limit_list);
-    made.add_work_sums(sum_list);
-    made.add_works_beyond(beyond_list);
-    builder.Finish(made.Finish());
+    result.add_upstreams_revision(from.known.upstreams);
+    result.add_configuration_revision(from.known.configuration);
+    result.add_configuration_checked(from.known.checked);
+    result.add_data_centre(from.data_centre);
+    result.add_speaks(from.speaks);
+    result.add_limits(limit_list);
+    result.add_work_sums(sum_list);
+    result.add_works_beyond(beyond_list);
+    builder.Finish(result.Finish());
     return text_of(builder);
 }
 
--- a/src/proxy/event_framer.cpp
+++ b/src/proxy/event_framer.cpp
@@ -24,25 +24,25 @@
 
 std::string_view event_framer::feed(std::string_view bytes)
 {
-    if (m_rest.empty() && end_of_last_event(bytes) == bytes.size()) {
-        note(bytes);
+    if (m_partial.empty() && end_of_last_event(bytes) == bytes.size()) {
+        record_events(bytes);
         return bytes;
     }
-    m_rest.append(bytes);
-    std::size_t const end = end_of_last_event(m_rest);
-    m_whole.assign(m_rest, 0, end);
-    m_rest.erase(0, end);
-    note(m_whole);
-    return m_whole;
+    m_partial.append(bytes);
+    std::size_t const end = end_of_last_event(m_partial);
+    m_complete.assign(m_partial, 0, end);
+    m_partial.erase(0, end);
+    record_events(m_complete);
+    return m_complete;
 }
 
-void event_framer::note(std::string_view whole)
+void event_framer::record_events(std::string_view complete)
 {
-    while (!whole.empty()) {
-        std::size_t const end = whole.find('\n');
-        std::string_view line = whole.substr(0, end);
-        whole.remove_prefix(end == std::string_view::npos ? whole.size()
-                                                          : end + 1);
+    while (!complete.empty()) {
+        std::size_t const end = complete.find('\n');
+        std::string_view line = complete.substr(0, end);
+        complete.remove_prefix(end == std::string_view::npos ? complete.size()
+                                                             : end + 1);
         if (!line.empty() && line.back() == '\r') {
             line.remove_suffix(1);
         }
--- a/src/proxy/event_framer.hpp
+++ b/src/proxy/event_framer.hpp
@@ -22,9 +22,9 @@
     std::string_view feed(std::string_view bytes);
 
     /// What is left of an event whose end has not come.
-    std::string_view rest() const
+    std::string_view partial_event() const
     {
-        return m_rest;
+        return m_partial;
     }
 
     /// The id of the last whole event; empty if none had one.
@@ -39,10 +39,10 @@
     }
 
 private:
-    void note(std::string_view whole);
+    void record_events(std::string_view complete);
 
-    std::string m_rest;
-    std::string m_whole;
+    std::string m_partial;
+    std::string m_complete;
     std::string m_last_id;
     std::uint64_t m_events = 0;
 };
--- a/src/proxy/event_gap_meter.hpp
+++ b/src/proxy/event_gap_meter.hpp
@@ -21,7 +21,7 @@
 {
 public:
     /// Events have come at `now`; gives the pause before them.
-    std::optional<model::milliseconds> note(model::time_point now)
+    std::optional<model::milliseconds> record(model::time_point now)
     {
         auto const last = std::exchange(m_last, now);
         if (!last) {
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -10,7 +10,7 @@
 
 /// Kept for the answer's way back, so that it arrives before the caller
 /// gives up.
-constexpr model::milliseconds way_back{20};
+constexpr model::milliseconds return_margin{20};
 
 model::milliseconds since(model::time_point from, model::time_point now)
 {
@@ -22,12 +22,12 @@
 exchange::exchange(relay_context& context,
                    message_head head,
                    std::string body,
-                   answer_sink port,
+                   answer_sink sink,
                    model::time_point arrived_boot)
     : m_context(context)
     , m_head(std::move(head))
     , m_body(std::move(body))
-    , m_port(std::move(port))
+    , m_sink(std::move(sink))
     , m_facts(read_facts(m_head, context.names))
     , m_arrived(context.loop.now())
     , m_arrived_boot(arrived_boot)
@@ -45,7 +45,7 @@
 {
     m_table = m_context.table;
     if (m_facts.id.empty()) {
-        refuse(step::malformed);
+        refuse(reason_code::malformed);
         return;
     }
     auto const admitted = routing::admit(
@@ -59,7 +59,7 @@
     }
     if (!m_context.accepts_new_request(std::min(
             m_facts.deadline.value_or(m_route->timeout), m_route->timeout))) {
-        refuse(step::stopping);
+        refuse(reason_code::stopping);
         return;
     }
     m_rank = m_table->urgency(*m_route, admitted.team);
@@ -78,26 +78,26 @@
             return other.by_prompt && other.rank > m_route->rank;
         });
     m_context.allowance(m_service).record_request();
-    auto const patience =
+    auto const timeout =
         std::min(m_facts.deadline.value_or(m_route->timeout), m_route->timeout);
-    m_give_up = m_arrived + std::max(patience - way_back, way_back);
+    m_deadline = m_arrived + std::max(timeout - return_margin, return_margin);
     auto const weak = weak_from_this();
     m_deadline_timer =
-        m_context.loop.after(since(m_context.loop.now(), m_give_up), [weak] {
-            if (auto const own = weak.lock()) {
-                own->give_up(step::timed_out);
+        m_context.loop.after(since(m_context.loop.now(), m_deadline), [weak] {
+            if (auto const self = weak.lock()) {
+                self->abandon(reason_code::timed_out);
             }
         });
     place();
 }
 
-void exchange::give_up(routing::refusal_reason reason)
+void exchange::abandon(routing::refusal_reason reason)
 {
     if (m_ended) {
         return;
     }
-    drop_connection();
-    if (m_began) {
+    release_connection();
+    if (m_has_begun) {
         end("cut", false);
         return;
     }
@@ -108,7 +108,7 @@
 {
     if (!m_ended) {
         m_report.ended_by = to_string(connection_end::own_close);
-        give_up(step::stopping);
+        abandon(reason_code::stopping);
     }
 }
 
@@ -117,13 +117,13 @@
     if (m_ended) {
         return;
     }
-    drop_connection();
+    release_connection();
     m_report.ended_by = ended_by;
-    m_port.end = [](bool) {};
+    m_sink.end = [](bool) {};
     end("left", false);
 }
 
-void exchange::drained()
+void exchange::handle_drained()
 {
     if (m_connection) {
         m_connection->enable_reading(true);
@@ -131,17 +131,17 @@
 }
 
 void exchange::refuse(routing::refusal_reason reason,
-                      std::optional<model::milliseconds> comes_back)
+                      std::optional<model::milliseconds> retry_after)
 {
-    drop_connection();
+    release_connection();
     routing::refusal const refused =
-        routing::refuse(reason, may_have_run(), comes_back);
+        routing::refuse(reason, may_have_run(), retry_after);
     m_report.status = refused.status;
     m_report.reason = routing::to_string(refused.reason);
-    m_port.write(refusal_text(refused,
+    m_sink.write(refusal_text(refused,
                               m_facts.id,
                               m_context.names,
-                              m_port.keeps_alive(),
+                              m_sink.keeps_alive(),
                               is_head_request()));
     end(may_have_run() ? "failed" : "refused", true);
 }
@@ -152,8 +152,9 @@
     m_report.route = m_route == nullptr ? "" : std::string_view(m_route->name);
     m_report.service = m_service;
     m_report.team = m_team;
-    m_report.upstream =
-        m_tried.empty() ? std::string_view() : std::string_view(m_tried.back());
+    m_report.upstream = m_attempted.empty()
+                            ? std::string_view()
+                            : std::string_view(m_attempted.back());
     m_report.sent = m_state.sent;
     m_report.unreached = m_state.unreached;
     m_report.forecast = m_pick.forecast;
@@ -166,9 +167,9 @@
     m_report.candidates = m_pick.candidates;
     m_report.total = since(m_arrived, m_context.loop.now());
     m_report.since_stop = m_since_stop;
-    m_report.unsent_bytes = m_port.unsent_bytes();
+    m_report.unsent_bytes = m_sink.unsent_bytes();
     m_report.events = m_events;
-    m_report.longest_gap = m_pauses.longest();
+    m_report.longest_gap = m_event_gaps.longest();
     m_report.config_version = m_table ? m_table->lists().version : 0;
     m_report.config_age = m_context.keys.age(m_context.boot_now());
     if (!m_service.empty()) {
@@ -176,12 +177,12 @@
     }
 }
 
-void exchange::end(std::string_view outcome, bool whole)
+void exchange::end(std::string_view outcome, bool complete)
 {
     if (m_ended) {
         return;
     }
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     m_ended = true;
     m_context.loop.cancel(m_deadline_timer);
     m_context.loop.cancel(m_silence_timer);
@@ -189,11 +190,11 @@
     m_report.outcome = outcome;
     m_report.on_time = outcome == "served" && m_route != nullptr
                        && m_report.first_byte <= m_route->latency_target
-                       && !m_route->is_pause_too_long(m_pauses.longest());
+                       && !m_route->is_pause_too_long(m_event_gaps.longest());
     if (m_context.on_ended) {
         m_context.on_ended(m_report);
     }
-    m_port.end(whole);
+    m_sink.end(complete);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/exchange.hpp
+++ b/src/proxy/exchange.hpp
@@ -31,7 +31,7 @@
     exchange(relay_context& context,
              message_head head,
              std::string body,
-             answer_sink port,
+             answer_sink sink,
              model::time_point arrived_boot);
     ~exchange();
     exchange(exchange const&) = delete;
@@ -50,49 +50,49 @@
     void stop();
 
     /// The caller has taken what was written.
-    void drained();
+    void handle_drained();
 
 private:
-    using step = routing::refusal_reason;
+    using reason_code = routing::refusal_reason;
 
     // exchange_place.cpp
     void place();
     void refuse_unplaced();
-    std::optional<model::milliseconds> comes_back_after() const;
+    std::optional<model::milliseconds> overload_retry_after() const;
     routing::pick_request pick_request();
     routing::pick choose();
-    bool has_other_place();
+    bool has_alternative();
     std::uint64_t fingerprint();
     bool is_quarantined();
 
     // exchange_send.cpp
-    bool is_still_allowed();
+    bool is_still_admitted();
     void send_to(routing::pick const& chosen);
     void arm_silence_timer(routing::pick const& chosen);
-    void try_ended(routing::try_end how);
+    void attempt_ended(routing::try_end result);
     bool is_upstream_silent() const;
-    bool can_try_again(routing::try_end how);
-    bool takes_retry(routing::try_end how);
-    void drop_connection();
+    bool can_retry(routing::try_end result);
+    bool acquire_retry(routing::try_end result);
+    void release_connection();
     model::milliseconds time_left() const;
     std::uint32_t rank() const;
 
     // exchange_answer.cpp
-    void take_head(message_head&& head);
-    bool is_for_us(message_head const& head);
-    void take_body(std::string_view bytes);
-    void take_end();
-    void take_fault(answer_fault why);
-    void begin_stream();
-    void pass_on(std::string_view bytes);
-    void deliver_whole();
-    void note_first_byte();
+    void handle_head(message_head&& head);
+    bool has_own_request_id(message_head const& head);
+    void handle_body(std::string_view bytes);
+    void handle_end();
+    void handle_fault(answer_fault fault);
+    void start_forwarding();
+    void forward(std::string_view bytes);
+    void send_complete_answer();
+    void record_first_byte();
 
     void fill_report();
-    void give_up(routing::refusal_reason reason);
+    void abandon(routing::refusal_reason reason);
     void refuse(routing::refusal_reason reason,
-                std::optional<model::milliseconds> comes_back = std::nullopt);
-    void end(std::string_view outcome, bool whole);
+                std::optional<model::milliseconds> retry_after = std::nullopt);
+    void end(std::string_view outcome, bool complete);
 
     bool may_have_run() const
     {
@@ -107,7 +107,7 @@
     relay_context& m_context;
     message_head m_head;
     std::string m_body;
-    answer_sink m_port;
+    answer_sink m_sink;
     request_facts m_facts;
     std::shared_ptr<routing::route_table const> m_table;
     routing::route const* m_route = nullptr;
@@ -120,7 +120,7 @@
     model::time_point m_arrived;
     model::time_point m_arrived_boot;
     model::milliseconds m_since_stop;
-    model::time_point m_give_up{};
+    model::time_point m_deadline{};
     runtime::timer_handle m_deadline_timer;
     runtime::timer_handle m_silence_timer;
 
@@ -129,24 +129,24 @@
     std::shared_ptr<upstream_connection> m_connection;
     routing::pick m_pick;
     model::time_point m_sent_at{};
-    std::uint64_t m_unread_tokens = 0;
-    routing::pace_meter::ticket m_waiting = 0;
-    bool m_counted = false;
+    std::uint64_t m_pending_prefill_tokens = 0;
+    routing::pace_meter::ticket m_performance_ticket = 0;
+    bool m_is_load_counted = false;
     message_head m_answer;
     std::string m_answer_body;
-    event_framer m_cutter;
+    event_framer m_framer;
     bool m_is_stream = false;
 
     // All tries.
     routing::try_state m_state;
-    std::vector<std::string> m_tried;
+    std::vector<std::string> m_attempted;
     bool m_may_have_run = false;
     std::uint64_t m_fingerprint = 0;
-    bool m_began = false;
+    bool m_has_begun = false;
     bool m_keep_alive = true;
     std::string m_last_event_id;
     std::uint64_t m_events = 0;
-    event_gap_meter m_pauses;
+    event_gap_meter m_event_gaps;
     bool m_ended = false;
     exchange_report m_report;
 };
--- a/src/proxy/exchange_answer.cpp
+++ b/src/proxy/exchange_answer.cpp
@@ -15,10 +15,10 @@
 
 /// Answers up to this size are passed on when they are whole, so that a
 /// broken one can be tried again; longer ones as they come.
-constexpr std::size_t most_held = 262'144;
+constexpr std::size_t max_buffered_answer = 262'144;
 
 /// Bytes that may wait for a slow caller before its upstream is held up.
-constexpr std::size_t most_unsent = 262'144;
+constexpr std::size_t max_unsent = 262'144;
 
 bool is_success(message_head const& head)
 {
@@ -38,37 +38,38 @@
 
 // A second or late answer of an earlier request may stand where ours is
 // expected; passed on, a caller would get another one's booking.
-bool exchange::is_for_us(message_head const& head)
+bool exchange::has_own_request_id(message_head const& head)
 {
     std::string const* const id = head.find(m_context.names.request_id);
     return id != nullptr && *id == m_facts.id;
 }
 
-void exchange::take_head(message_head&& head)
+void exchange::handle_head(message_head&& head)
 {
     if (m_ended) {
         return;
     }
     bool const says_not_run = head.find(m_context.names.not_run) != nullptr
                               || head.status == misdirected;
-    bool const is_another_ones =
-        !is_for_us(head) && head.find(m_context.names.request_id) != nullptr;
-    if (is_another_ones) {
+    bool const is_other_request =
+        !has_own_request_id(head)
+        && head.find(m_context.names.request_id) != nullptr;
+    if (is_other_request) {
         m_connection->skip_answer();
         return;
     }
     record_limit(m_context, *m_upstream, head);
     if (says_not_run) {
         m_upstream->health.record_failure(m_context.loop.now());
-        try_ended(try_end::not_run);
+        attempt_ended(try_end::not_run);
         return;
     }
-    bool const is_ours = is_for_us(head)
+    bool const is_ours = has_own_request_id(head)
                          && head.find(m_context.names.seal) != nullptr
                          && head.find("Content-Encoding") == nullptr;
     if (is_success(head) && !is_ours) {
         m_upstream->health.record_failure(m_context.loop.now());
-        try_ended(try_end::broken);
+        attempt_ended(try_end::broken);
         return;
     }
     bool const is_failure = head.status >= first_failure;
@@ -76,107 +77,107 @@
         m_upstream->health.record_failure(m_context.loop.now());
         // Without another try the upstream's own answer says more than one
         // of ours.
-        if (m_began || can_try_again(try_end::failed)) {
-            try_ended(try_end::failed);
+        if (m_has_begun || can_retry(try_end::failed)) {
+            attempt_ended(try_end::failed);
             return;
         }
     }
-    note_first_byte();
+    record_first_byte();
     m_answer = std::move(head);
     m_is_stream =
         m_route->kind == routing::request_kind::stream && is_success(m_answer);
-    bool const is_long = m_answer.length.value_or(0) > most_held;
+    bool const is_long = m_answer.length.value_or(0) > max_buffered_answer;
     if (is_long && !m_is_stream) {
-        begin_stream();
+        start_forwarding();
     }
 }
 
-void exchange::note_first_byte()
+void exchange::record_first_byte()
 {
     auto const now = m_context.loop.now();
     auto const took =
         std::chrono::duration_cast<model::milliseconds>(now - m_sent_at);
     m_report.upstream_wait = took;
-    m_upstream->own_pace.end(m_waiting, now);
+    m_upstream->own_pace.end(m_performance_ticket, now);
     if (m_report.first_byte.count() < 0) {
         m_report.first_byte =
             std::chrono::duration_cast<model::milliseconds>(now - m_arrived);
     }
-    m_upstream->own.unread_tokens -= m_unread_tokens;
-    m_unread_tokens = 0;
+    m_upstream->own.unread_tokens -= m_pending_prefill_tokens;
+    m_pending_prefill_tokens = 0;
 }
 
-void exchange::begin_stream()
+void exchange::start_forwarding()
 {
-    m_began = true;
-    m_keep_alive = m_port.keeps_alive() && m_head.minor_version > 0;
+    m_has_begun = true;
+    m_keep_alive = m_sink.keeps_alive() && m_head.minor_version > 0;
     m_report.status = m_answer.status;
     answer_framing framing;
     framing.length = m_is_stream ? std::nullopt : m_answer.length;
     framing.keep_alive = m_keep_alive;
     framing.has_body = !is_head_request() && !has_no_body(m_answer);
-    m_port.write(answer_head_text(m_answer, m_head.minor_version, framing));
+    m_sink.write(answer_head_text(m_answer, m_head.minor_version, framing));
 }
 
-void exchange::pass_on(std::string_view bytes)
+void exchange::forward(std::string_view bytes)
 {
     if (bytes.empty()) {
         return;
     }
-    if (!m_began) {
-        begin_stream();
+    if (!m_has_begun) {
+        start_forwarding();
     }
     bool const is_chunked =
         m_head.minor_version > 0 && (m_is_stream || !m_answer.length);
     if (is_chunked) {
-        m_port.write(chunk_text(bytes));
+        m_sink.write(chunk_text(bytes));
     } else {
-        m_port.write(bytes);
+        m_sink.write(bytes);
     }
-    if (m_connection && m_port.unsent_bytes() > most_unsent) {
+    if (m_connection && m_sink.unsent_bytes() > max_unsent) {
         m_connection->enable_reading(false);
     }
 }
 
-void exchange::take_body(std::string_view bytes)
+void exchange::handle_body(std::string_view bytes)
 {
     if (m_ended) {
         return;
     }
     m_upstream->heard_at = m_context.loop.now();
     if (m_is_stream) {
-        std::uint64_t const before = m_cutter.events();
-        std::string_view const whole = m_cutter.feed(bytes);
-        if (m_cutter.events() > before) {
-            m_events += m_cutter.events() - before;
-            auto const pause = m_pauses.note(m_upstream->heard_at);
+        std::uint64_t const before = m_framer.events();
+        std::string_view const complete = m_framer.feed(bytes);
+        if (m_framer.events() > before) {
+            m_events += m_framer.events() - before;
+            auto const pause = m_event_gaps.record(m_upstream->heard_at);
             // The first event of a try that goes on after another tells of
             // both.
             if (pause && before > 0) {
                 m_upstream->own_pace.note_pause(*pause, m_upstream->heard_at);
             }
         }
-        if (!m_cutter.last_id().empty()) {
-            m_last_event_id = m_cutter.last_id();
+        if (!m_framer.last_id().empty()) {
+            m_last_event_id = m_framer.last_id();
         }
-        pass_on(whole);
+        forward(complete);
         return;
     }
-    if (m_began) {
-        pass_on(bytes);
+    if (m_has_begun) {
+        forward(bytes);
         return;
     }
     m_answer_body.append(bytes);
-    if (m_answer_body.size() > most_held) {
-        begin_stream();
-        pass_on(std::exchange(m_answer_body, {}));
+    if (m_answer_body.size() > max_buffered_answer) {
+        start_forwarding();
+        forward(std::exchange(m_answer_body, {}));
     }
 }
 
-void exchange::deliver_whole()
+void exchange::send_complete_answer()
 {
     answer_framing framing;
-    framing.keep_alive = m_port.keeps_alive();
+    framing.keep_alive = m_sink.keeps_alive();
     framing.has_body = !is_head_request() && !has_no_body(m_answer);
     if (framing.has_body) {
         framing.length = m_answer_body.size();
@@ -184,16 +185,16 @@
         framing.length = m_answer.length;
     }
     m_report.status = m_answer.status;
-    m_port.write(answer_head_text(m_answer, m_head.minor_version, framing)
+    m_sink.write(answer_head_text(m_answer, m_head.minor_version, framing)
                  + m_answer_body);
 }
 
-void exchange::take_end()
+void exchange::handle_end()
 {
     if (m_ended) {
         return;
     }
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     ++m_state.sent;
     bool const is_failure = m_answer.status >= first_failure;
     if (!is_failure) {
@@ -205,34 +206,34 @@
     if (auto const connection = std::exchange(m_connection, nullptr)) {
         m_context.pool.release(m_upstream, connection);
     }
-    drop_connection();
+    release_connection();
     if (m_is_stream) {
-        pass_on(m_cutter.rest());
+        forward(m_framer.partial_event());
     }
-    if (!m_began) {
-        deliver_whole();
+    if (!m_has_begun) {
+        send_complete_answer();
     } else if (m_head.minor_version > 0 && (m_is_stream || !m_answer.length)) {
-        m_port.write(last_chunk);
+        m_sink.write(last_chunk);
     }
     end(is_failure ? "failed" : "served", true);
 }
 
-void exchange::take_fault(answer_fault why)
+void exchange::handle_fault(answer_fault fault)
 {
     if (m_ended) {
         return;
     }
     auto const now = m_context.loop.now();
-    if (why == answer_fault::malformed) {
+    if (fault == answer_fault::malformed) {
         m_upstream->health.record_failure(now);
     } else {
         m_upstream->health.record_unreachable(now);
-        if (why == answer_fault::broken && m_connection->has_sent()) {
+        if (fault == answer_fault::broken && m_connection->has_sent()) {
             m_context.suspects.record_crash(fingerprint(), now);
         }
     }
-    try_ended(why == answer_fault::unreachable ? try_end::unreachable
-                                               : try_end::broken);
+    attempt_ended(fault == answer_fault::unreachable ? try_end::unreachable
+                                                     : try_end::broken);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/exchange_place.cpp
+++ b/src/proxy/exchange_place.cpp
@@ -13,7 +13,7 @@
     request.prompt = &m_facts.prompt;
     request.service = m_service;
     request.body_bytes = m_body.size();
-    request.tried = &m_tried;
+    request.tried = &m_attempted;
 
     request.is_most_urgent = m_is_most_urgent;
     request.urgent_streams = m_context.fleet_urgent_streams(m_service);
@@ -22,7 +22,7 @@
 
 // Silence isn't failure: the present upstream may still answer, and is left
 // only for one that can.
-bool exchange::has_other_place()
+bool exchange::has_alternative()
 {
     auto const other =
         m_context.picker.choose(pick_request(), m_context.loop.now());
@@ -61,7 +61,7 @@
            >= routing::crash_suspects::most_crashes;
 }
 
-std::optional<model::milliseconds> exchange::comes_back_after() const
+std::optional<model::milliseconds> exchange::overload_retry_after() const
 {
     if (m_facts.prompt.tokens == 0) {
         return std::nullopt;
@@ -82,16 +82,17 @@
         return;
     }
     if (m_pick.forecast > time_left() && !may_have_run()) {
-        refuse(step::too_late);
+        refuse(reason_code::too_late);
         return;
     }
-    auto const comes_back = comes_back_after();
-    if (comes_back && !may_have_run()) {
-        refuse(step::too_late, comes_back);
+    auto const retry_after = overload_retry_after();
+    if (retry_after && !may_have_run()) {
+        refuse(reason_code::too_late, retry_after);
         return;
     }
     if (is_quarantined()) {
-        refuse(may_have_run() ? step::upstream_failed : step::quarantined);
+        refuse(may_have_run() ? reason_code::upstream_failed
+                              : reason_code::quarantined);
         return;
     }
     send_to(m_pick);
@@ -100,14 +101,14 @@
 void exchange::refuse_unplaced()
 {
     if (may_have_run()) {
-        refuse(step::upstream_failed);
+        refuse(reason_code::upstream_failed);
         return;
     }
     if (m_pick.limited == 0) {
-        refuse(step::no_upstream);
+        refuse(reason_code::no_upstream);
         return;
     }
-    refuse(step::limited, m_pick.comes_back);
+    refuse(reason_code::limited, m_pick.comes_back);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/exchange_send.cpp
+++ b/src/proxy/exchange_send.cpp
@@ -13,22 +13,22 @@
 /// A try of a plain request that has been silent for this many latency
 /// targets is tried elsewhere: it is late already, and an upstream that
 /// swallows requests would hold it until the caller gives up.
-constexpr int targets_of_silence = 1;
+constexpr int silence_targets = 1;
 /// Streams wait for a place among others; only a multiple of the target
 /// tells silence from a queue.
-constexpr int targets_of_stream_silence = 2;
+constexpr int stream_silence_targets = 2;
 
 } // namespace
 
 model::milliseconds exchange::time_left() const
 {
     return std::chrono::duration_cast<model::milliseconds>(
-        m_give_up - m_context.loop.now());
+        m_deadline - m_context.loop.now());
 }
 
 // A key may have been taken away since the request came. How old the belief
 // was then decided whether it was admitted; that doesn't change.
-bool exchange::is_still_allowed()
+bool exchange::is_still_admitted()
 {
     auto const admitted = routing::admit(
         m_context.table.get(),
@@ -41,24 +41,26 @@
 void exchange::send_to(routing::pick const& chosen)
 {
     m_upstream = chosen.to;
-    m_tried.push_back(m_upstream->about.id);
+    m_attempted.push_back(m_upstream->about.id);
     m_connection = m_context.pool.acquire(m_upstream);
     m_sent_at = m_context.loop.now();
-    m_unread_tokens = m_facts.prompt.tokens
-                      - std::min(m_facts.prompt.tokens,
-                                 m_facts.prompt.shared_tokens()
-                                     - std::min(m_facts.prompt.shared_tokens(),
-                                                chosen.cold_tokens));
+    m_pending_prefill_tokens =
+        m_facts.prompt.tokens
+        - std::min(
+            m_facts.prompt.tokens,
+            m_facts.prompt.shared_tokens()
+                - std::min(m_facts.prompt.shared_tokens(), chosen.cold_tokens));
     m_upstream->limit.record_send(m_sent_at);
     m_upstream->own.running += 1;
     m_upstream->own.urgent += m_is_most_urgent ? 1 : 0;
-    m_waiting = m_upstream->own_pace.begin(m_sent_at, chosen.usual_forecast);
-    m_upstream->own.unread_tokens += m_unread_tokens;
+    m_performance_ticket =
+        m_upstream->own_pace.begin(m_sent_at, chosen.usual_forecast);
+    m_upstream->own.unread_tokens += m_pending_prefill_tokens;
     m_context.urgent_streams[m_service] += m_is_most_urgent ? 1 : 0;
-    m_counted = true;
+    m_is_load_counted = true;
     m_answer = {};
     m_answer_body.clear();
-    m_cutter = {};
+    m_framer = {};
     m_is_stream = false;
 
     upstream_request added;
@@ -76,16 +78,16 @@
                        is_head_request(),
                        m_context.settings.connect_timeout,
                        {[self](message_head&& head) {
-                            self->take_head(std::move(head));
+                            self->handle_head(std::move(head));
                         },
                         [self](std::string_view bytes) {
-                            self->take_body(bytes);
+                            self->handle_body(bytes);
                         },
                         [self] {
-                            self->take_end();
+                            self->handle_end();
                         },
-                        [self](answer_fault why) {
-                            self->take_fault(why);
+                        [self](answer_fault fault) {
+                            self->handle_fault(fault);
                         }});
 }
 
@@ -96,37 +98,37 @@
         return;
     }
     int const targets = m_route->kind == routing::request_kind::stream
-                            ? targets_of_stream_silence
-                            : targets_of_silence;
+                            ? stream_silence_targets
+                            : silence_targets;
     auto const wait =
         std::max(m_route->latency_target * targets, chosen.forecast * 2);
     auto const weak = weak_from_this();
     m_silence_timer = m_context.loop.after(wait, [weak] {
-        auto const own = weak.lock();
-        if (!own || own->m_ended || own->m_report.first_byte.count() >= 0) {
+        auto const self = weak.lock();
+        if (!self || self->m_ended || self->m_report.first_byte.count() >= 0) {
             return;
         }
-        if (own->is_upstream_silent() && own->can_try_again(try_end::silent)
-            && own->is_still_allowed() && own->has_other_place()) {
-            own->m_upstream->health.record_failure(own->m_context.loop.now());
-            own->try_ended(try_end::silent);
+        if (self->is_upstream_silent() && self->can_retry(try_end::silent)
+            && self->is_still_admitted() && self->has_alternative()) {
+            self->m_upstream->health.record_failure(self->m_context.loop.now());
+            self->attempt_ended(try_end::silent);
             return;
         }
-        own->arm_silence_timer(own->m_pick);
+        self->arm_silence_timer(self->m_pick);
     });
 }
 
-void exchange::drop_connection()
+void exchange::release_connection()
 {
     m_context.loop.cancel(m_silence_timer);
-    if (m_counted) {
-        m_counted = false;
+    if (m_is_load_counted) {
+        m_is_load_counted = false;
         m_context.urgent_streams[m_service] -= m_is_most_urgent ? 1 : 0;
         m_upstream->own.running -= 1;
         m_upstream->own.urgent -= m_is_most_urgent ? 1 : 0;
-        m_upstream->own_pace.drop(m_waiting);
-        m_upstream->own.unread_tokens -= m_unread_tokens;
-        m_unread_tokens = 0;
+        m_upstream->own_pace.drop(m_performance_ticket);
+        m_upstream->own.unread_tokens -= m_pending_prefill_tokens;
+        m_pending_prefill_tokens = 0;
     }
     if (auto const connection = std::exchange(m_connection, nullptr)) {
         if (connection->has_sent()) {
@@ -146,41 +148,41 @@
                   > m_route->latency_target;
 }
 
-bool exchange::can_try_again(try_end how)
+bool exchange::can_retry(try_end result)
 {
     routing::try_state after = m_state;
     ++after.sent;
-    return routing::may_try_again(*m_route, how, after)
+    return routing::may_try_again(*m_route, result, after)
            && m_context.allowance(m_service).left() >= 1.0;
 }
 
-bool exchange::takes_retry(try_end how)
+bool exchange::acquire_retry(try_end result)
 {
-    if (!routing::may_try_again(*m_route, how, m_state)) {
+    if (!routing::may_try_again(*m_route, result, m_state)) {
         return false;
     }
     // An upstream that got nothing is no second send.
     return m_state.sent == 0 || m_context.allowance(m_service).try_take();
 }
 
-void exchange::try_ended(try_end how)
+void exchange::attempt_ended(try_end result)
 {
     bool const had_run = m_may_have_run;
-    if (how == try_end::unreachable) {
+    if (result == try_end::unreachable) {
         ++m_state.unreached;
     }
-    drop_connection();
-    if (how == try_end::unreachable || how == try_end::not_run) {
+    release_connection();
+    if (result == try_end::unreachable || result == try_end::not_run) {
         m_may_have_run = had_run;
     }
-    m_state.has_begun = m_began;
-    m_report.last_attempt = routing::to_string(how);
+    m_state.has_begun = m_has_begun;
+    m_report.last_attempt = routing::to_string(result);
     // A busy host reads late that a caller has left, and would send on what
     // nobody waits for.
-    if (!m_port.is_connected()) {
+    if (!m_sink.is_connected()) {
         return;
     }
-    if (takes_retry(how) && is_still_allowed()) {
+    if (acquire_retry(result) && is_still_admitted()) {
         fill_report();
         if (m_context.on_retried) {
             m_context.on_retried(m_report);
@@ -188,12 +190,12 @@
         place();
         return;
     }
-    if (m_began) {
+    if (m_has_begun) {
         end("cut", false);
         return;
     }
-    refuse(how == try_end::not_run ? step::upstream_full
-                                   : step::upstream_failed);
+    refuse(result == try_end::not_run ? reason_code::upstream_full
+                                      : reason_code::upstream_failed);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/http_get.cpp
+++ b/src/proxy/http_get.cpp
@@ -18,34 +18,34 @@
 
 void http_get::stop()
 {
-    m_loop.cancel(m_limit);
-    end();
+    m_loop.cancel(m_timer);
+    record_end();
     if (auto const connection = std::exchange(m_connection, nullptr)) {
         connection->close();
     }
 }
 
-void http_get::limit(model::milliseconds longest)
+void http_get::set_timeout(model::milliseconds timeout)
 {
-    m_loop.cancel(m_limit);
-    m_limit = m_loop.after(longest, [this] {
-        failed("silent");
+    m_loop.cancel(m_timer);
+    m_timer = m_loop.after(timeout, [this] {
+        fail("silent");
     });
 }
 
-void http_get::end()
+void http_get::record_end()
 {
     if (std::exchange(m_is_active, false)) {
         m_ended_at = m_loop.now();
     }
 }
 
-void http_get::failed(std::string_view why)
+void http_get::fail(std::string_view reason)
 {
     stop();
-    auto const call = std::exchange(m_call, {});
-    if (call.on_failed) {
-        call.on_failed(why);
+    auto const callbacks = std::exchange(m_hooks, {});
+    if (callbacks.on_failed) {
+        callbacks.on_failed(reason);
     }
 }
 
@@ -55,10 +55,10 @@
     auto const since = [until](model::time_point from) {
         return std::chrono::duration_cast<model::milliseconds>(until - from);
     };
-    return {m_bytes, since(m_asked_at), since(m_last_byte_at)};
+    return {m_bytes, since(m_started_at), since(m_last_byte_at)};
 }
 
-void http_get::start(get_request const& request, hooks call)
+void http_get::start(get_request const& request, hooks callbacks)
 {
     bool const may_reuse = m_connection && m_connection->is_open()
                            && m_connection->is_available()
@@ -69,14 +69,14 @@
             std::make_shared<upstream_connection>(m_loop, request.at);
     }
     m_at = request.at;
-    m_call = std::move(call);
+    m_hooks = std::move(callbacks);
     m_body.clear();
     m_bytes = 0;
     m_is_active = true;
-    m_asked_at = m_loop.now();
-    m_last_byte_at = m_asked_at;
+    m_started_at = m_loop.now();
+    m_last_byte_at = m_started_at;
     m_idle_timeout = request.idle_timeout;
-    limit(request.first_byte_timeout);
+    set_timeout(request.first_byte_timeout);
     m_connection->send(
         fmt::format("GET {} HTTP/1.1\r\nHost: {}:{}\r\n{}\r\n",
                     request.target,
@@ -87,23 +87,23 @@
         request.connect_timeout,
         {[this](message_head&& head) {
              m_status = head.status;
-             limit(m_idle_timeout);
+             set_timeout(m_idle_timeout);
          },
          [this](std::string_view bytes) {
              m_body.append(bytes);
              m_bytes += bytes.size();
              m_last_byte_at = m_loop.now();
-             limit(m_idle_timeout);
+             set_timeout(m_idle_timeout);
          },
          [this] {
-             m_loop.cancel(m_limit);
-             end();
+             m_loop.cancel(m_timer);
+             record_end();
              auto const body = std::exchange(m_body, {});
-             auto const answered = std::exchange(m_call, {});
+             auto const answered = std::exchange(m_hooks, {});
              answered.on_answer(m_status, body);
          },
-         [this](answer_fault why) {
-             failed(why == answer_fault::unreachable ? "unreachable"
+         [this](answer_fault fault) {
+             fail(fault == answer_fault::unreachable ? "unreachable"
                                                      : "broken");
          }});
 }
--- a/src/proxy/http_get.hpp
+++ b/src/proxy/http_get.hpp
@@ -50,7 +50,7 @@
     {
         std::function<void(int status, std::string const& body)> on_answer;
         /// There is no whole answer; `why`: silent, unreachable or broken.
-        std::function<void(std::string_view why)> on_failed;
+        std::function<void(std::string_view reason)> on_failed;
     };
 
     explicit http_get(runtime::event_loop& loop);
@@ -60,7 +60,7 @@
 
     /// Begins to ask; what was asked before is given up without a word. Hooks
     /// may ask again.
-    void start(get_request const& request, hooks call);
+    void start(get_request const& request, hooks callbacks);
 
     /// Gives up what was asked, and the connection.
     void stop();
@@ -74,19 +74,19 @@
     get_progress progress() const;
 
 private:
-    void limit(model::milliseconds longest);
-    void end();
-    void failed(std::string_view why);
+    void set_timeout(model::milliseconds timeout);
+    void record_end();
+    void fail(std::string_view reason);
 
     runtime::event_loop& m_loop;
     std::shared_ptr<upstream_connection> m_connection;
     model::endpoint m_at;
-    hooks m_call;
-    runtime::timer_handle m_limit;
+    hooks m_hooks;
+    runtime::timer_handle m_timer;
     model::milliseconds m_idle_timeout{0};
     std::string m_body;
     std::size_t m_bytes = 0;
-    model::time_point m_asked_at{};
+    model::time_point m_started_at{};
     model::time_point m_last_byte_at{};
     model::time_point m_ended_at{};
     int m_status = 0;
--- a/src/proxy/http_reader.cpp
+++ b/src/proxy/http_reader.cpp
@@ -9,7 +9,7 @@
 constexpr int first_final_status = 200;
 constexpr int stop_reading = -1;
 
-bool is_clean(std::string const& value)
+bool is_safe(std::string const& value)
 {
     return value.find_first_of(std::string_view("\r\n\0", 3))
            == std::string::npos;
@@ -17,17 +17,17 @@
 
 } // namespace
 
-http_reader::http_reader(http_parser_type side, hooks call)
-    : m_call(std::move(call))
+http_reader::http_reader(http_parser_type side, hooks callbacks)
+    : m_hooks(std::move(callbacks))
 {
     http_parser_init(&m_parser, side);
     m_parser.data = this;
 }
 
-bool http_reader::grow_head(std::size_t bytes)
+bool http_reader::count_head_bytes(std::size_t bytes)
 {
     m_head_bytes += bytes;
-    if (m_head_bytes > m_longest_head) {
+    if (m_head_bytes > m_max_head) {
         m_fault = read_fault::head_too_long;
         return false;
     }
@@ -37,7 +37,7 @@
 int http_reader::end_head(http_parser* parser)
 {
     for (header_line const& line : m_head.headers) {
-        if (!is_clean(line.value)) {
+        if (!is_safe(line.value)) {
             m_fault = read_fault::malformed;
             return stop_reading;
         }
@@ -61,64 +61,64 @@
         m_head = {};
         m_head_bytes = 0;
     } else {
-        m_call.on_head(std::exchange(m_head, {}));
+        m_hooks.on_head(std::exchange(m_head, {}));
     }
     return no_body ? 1 : 0;
 }
 
-http_parser_settings const& http_reader::callbacks()
+http_parser_settings const& http_reader::parser_callbacks()
 {
     static http_parser_settings const s_settings = [] {
         http_parser_settings set;
         http_parser_settings_init(&set);
         set.on_message_begin = [](http_parser* parser) {
-            http_reader& own = self(parser);
-            own.m_head = {};
-            own.m_head_bytes = 0;
-            own.m_last_was_value = false;
-            own.m_between = false;
+            http_reader& reader = self(parser);
+            reader.m_head = {};
+            reader.m_head_bytes = 0;
+            reader.m_last_was_value = false;
+            reader.m_is_between = false;
             return 0;
         };
         set.on_url = [](http_parser* parser, char const* at, std::size_t size) {
             self(parser).m_head.target.append(at, size);
-            return self(parser).grow_head(size) ? 0 : stop_reading;
+            return self(parser).count_head_bytes(size) ? 0 : stop_reading;
         };
         set.on_status =
             [](http_parser* parser, char const* at, std::size_t size) {
                 self(parser).m_head.reason.append(at, size);
-                return self(parser).grow_head(size) ? 0 : stop_reading;
+                return self(parser).count_head_bytes(size) ? 0 : stop_reading;
             };
         set.on_header_field =
             [](http_parser* parser, char const* at, std::size_t size) {
-                http_reader& own = self(parser);
-                if (own.m_head.headers.empty() || own.m_last_was_value) {
-                    own.m_head.headers.emplace_back();
-                    own.m_last_was_value = false;
+                http_reader& reader = self(parser);
+                if (reader.m_head.headers.empty() || reader.m_last_was_value) {
+                    reader.m_head.headers.emplace_back();
+                    reader.m_last_was_value = false;
                 }
-                own.m_head.headers.back().name.append(at, size);
-                return own.grow_head(size) ? 0 : stop_reading;
+                reader.m_head.headers.back().name.append(at, size);
+                return reader.count_head_bytes(size) ? 0 : stop_reading;
             };
         set.on_header_value =
             [](http_parser* parser, char const* at, std::size_t size) {
-                http_reader& own = self(parser);
-                own.m_last_was_value = true;
-                if (!own.m_head.headers.empty()) {
-                    own.m_head.headers.back().value.append(at, size);
+                http_reader& reader = self(parser);
+                reader.m_last_was_value = true;
+                if (!reader.m_head.headers.empty()) {
+                    reader.m_head.headers.back().value.append(at, size);
                 }
-                return own.grow_head(size) ? 0 : stop_reading;
+                return reader.count_head_bytes(size) ? 0 : stop_reading;
             };
         set.on_headers_complete = [](http_parser* parser) {
             return self(parser).end_head(parser);
         };
         set.on_body =
             [](http_parser* parser, char const* at, std::size_t size) {
-                self(parser).m_call.on_body(std::string_view(at, size));
+                self(parser).m_hooks.on_body(std::string_view(at, size));
                 return 0;
             };
         set.on_message_complete = [](http_parser* parser) {
-            http_reader& own = self(parser);
-            if (!own.m_interim) {
-                own.m_between = true;
+            http_reader& reader = self(parser);
+            if (!reader.m_interim) {
+                reader.m_is_between = true;
                 http_parser_pause(parser, 1);
             }
             return 0;
@@ -134,11 +134,11 @@
         return 0;
     }
     std::size_t const taken = http_parser_execute(
-        &m_parser, &callbacks(), bytes.data(), bytes.size());
+        &m_parser, &parser_callbacks(), bytes.data(), bytes.size());
     http_errno const code = HTTP_PARSER_ERRNO(&m_parser);
     if (code == HPE_PAUSED) {
         http_parser_pause(&m_parser, 0);
-        m_call.on_end();
+        m_hooks.on_end();
         return taken;
     }
     if (code != HPE_OK || m_parser.upgrade != 0) {
@@ -151,15 +151,15 @@
 
 bool http_reader::feed_end()
 {
-    if (m_between || m_fault != read_fault::none) {
+    if (m_is_between || m_fault != read_fault::none) {
         return false;
     }
-    http_parser_execute(&m_parser, &callbacks(), nullptr, 0);
+    http_parser_execute(&m_parser, &parser_callbacks(), nullptr, 0);
     if (HTTP_PARSER_ERRNO(&m_parser) != HPE_PAUSED) {
         return false;
     }
     http_parser_pause(&m_parser, 0);
-    m_call.on_end();
+    m_hooks.on_end();
     return true;
 }
 
--- a/src/proxy/http_reader.hpp
+++ b/src/proxy/http_reader.hpp
@@ -43,13 +43,13 @@
     /// Longest head that is read, in bytes, whatever the settings say.
     static constexpr std::size_t max_head = 65'536;
 
-    http_reader(http_parser_type side, hooks call);
+    http_reader(http_parser_type side, hooks callbacks);
     http_reader(http_reader const&) = delete;
     http_reader& operator=(http_reader const&) = delete;
 
-    void set_max_head_bytes(std::size_t most)
+    void set_max_head_bytes(std::size_t bytes)
     {
-        m_longest_head = most;
+        m_max_head = bytes;
     }
 
     /// Takes bytes up to the end of one message; gives how many.
@@ -73,7 +73,7 @@
     /// Between two messages: nothing of the next has been read.
     bool is_between_messages() const
     {
-        return m_between;
+        return m_is_between;
     }
 
 private:
@@ -82,19 +82,19 @@
         return *static_cast<http_reader*>(parser->data);
     }
 
-    static http_parser_settings const& callbacks();
-    bool grow_head(std::size_t bytes);
+    static http_parser_settings const& parser_callbacks();
+    bool count_head_bytes(std::size_t bytes);
     int end_head(http_parser* parser);
 
     http_parser m_parser{};
-    hooks m_call;
+    hooks m_hooks;
     message_head m_head;
     bool m_last_was_value = false;
     bool m_no_body = false;
     bool m_interim = false;
-    bool m_between = true;
+    bool m_is_between = true;
     std::size_t m_head_bytes = 0;
-    std::size_t m_longest_head = max_head;
+    std::size_t m_max_head = max_head;
     read_fault m_fault = read_fault::none;
 };
 
--- a/src/proxy/limit_notices.cpp
+++ b/src/proxy/limit_notices.cpp
@@ -9,8 +9,8 @@
 
 /// The others hear of an answer within a second; told for much longer, since
 /// hosts come and go.
-constexpr model::milliseconds told_for{60'000};
-constexpr std::size_t most_told = 64;
+constexpr model::milliseconds advertised_for{60'000};
+constexpr std::size_t max_advertised = 64;
 constexpr int misdirected = 421;
 
 void apply(relay_context& context,
@@ -65,9 +65,9 @@
             return;
         }
     }
-    bool const has_worked = answer.find(context.names.seal) != nullptr;
-    bool const says_end = !a_second && has_worked && from.limit.is_limited();
-    if (a_second || says_end) {
+    bool const has_run = answer.find(context.names.seal) != nullptr;
+    bool const has_ended = !a_second && has_run && from.limit.is_limited();
+    if (a_second || has_ended) {
         from.own_limit = {a_second, context.loop.now()};
         apply(context, from, from.own_limit);
     }
@@ -93,8 +93,9 @@
         routing::limit_notice const& own = state.own_limit;
         auto const age =
             std::chrono::duration_cast<model::milliseconds>(now - own.heard_at);
-        bool const was_said = own.heard_at != model::time_point{};
-        if (was_said && age < told_for && list.size() < most_told) {
+        bool const was_received = own.heard_at != model::time_point{};
+        if (was_received && age < advertised_for
+            && list.size() < max_advertised) {
             list.push_back({routing::upstream_load_key(state.about.id),
                             own.a_second,
                             age});
--- a/src/proxy/list_codec.cpp
+++ b/src/proxy/list_codec.cpp
@@ -38,13 +38,13 @@
     if (from == nullptr || from->key() == nullptr || from->text() == nullptr) {
         return std::nullopt;
     }
-    packed_configuration made;
-    made.key = from->key()->str();
-    made.revision = from->revision();
-    made.checked = from->checked();
-    made.base = from->base();
-    made.packed = text_of(*from->text());
-    return made;
+    packed_configuration result;
+    result.key = from->key()->str();
+    result.revision = from->revision();
+    result.checked = from->checked();
+    result.base = from->base();
+    result.packed = text_of(*from->text());
+    return result;
 }
 
 std::string encode_items(item_list const& list)
@@ -75,12 +75,12 @@
         if (item->key() == nullptr || item->value() == nullptr) {
             return std::nullopt;
         }
-        store_item made;
-        made.key = item->key()->str();
-        made.value = text_of(*item->value());
-        made.revision = item->revision();
-        made.removed = item->removed();
-        list.items.push_back(std::move(made));
+        store_item result;
+        result.key = item->key()->str();
+        result.value = text_of(*item->value());
+        result.revision = item->revision();
+        result.removed = item->removed();
+        list.items.push_back(std::move(result));
     }
     return list;
 }
--- a/src/proxy/peer_gossip.cpp
+++ b/src/proxy/peer_gossip.cpp
@@ -20,14 +20,14 @@
 
 /// How often a small fleet's hosts tell each other: a prompt is read in some
 /// 100 ms, and loads that are older mislead.
-constexpr model::milliseconds shortest_period{100};
+constexpr model::milliseconds min_period{100};
 /// A host hears at most about this many datagrams a second with loads, some
 /// thousandths of a core.
-constexpr double most_heard_a_second = 60.0;
+constexpr double max_datagrams_per_second = 60.0;
 
-constexpr std::size_t largest_datagram = 65'536;
-constexpr std::size_t most_suspects = 32;
-constexpr std::size_t most_neighbours_told = 16;
+constexpr std::size_t max_datagram = 65'536;
+constexpr std::size_t max_suspects = 32;
+constexpr std::size_t max_neighbours_sent = 16;
 
 sockaddr_in to_socket(model::endpoint const& at)
 {
@@ -63,12 +63,12 @@
         m_socket,
         EV_READ | EV_PERSIST,
         [](int, short, void* self) {
-            static_cast<peer_gossip*>(self)->hear();
+            static_cast<peer_gossip*>(self)->receive();
         },
         this);
     event_add(m_read, nullptr);
-    m_timer = context.loop.after(shortest_period, [this] {
-        tell();
+    m_timer = context.loop.after(min_period, [this] {
+        send_digests();
     });
 }
 
@@ -104,7 +104,7 @@
     }
     digest.limits = limits_to_advertise(m_context);
     digest.suspects =
-        m_context.suspects.to_tell(most_suspects, m_context.loop.now());
+        m_context.suspects.to_tell(max_suspects, m_context.loop.now());
     frame.stamp = m_context.boot_now();
     if (auto const as_of = m_context.keys.as_of()) {
         frame.confirmed_age =
@@ -122,33 +122,34 @@
     }
     m_context.loop.cancel(m_change_timer);
     m_change_timer = m_context.loop.after(model::milliseconds{0}, [this] {
-        tell_all(m_context.peers.audience_of_change(
-                     m_context.loop.now(), m_context.known, m_random()),
-                 own_frame());
+        send_to_all(m_context.peers.audience_of_change(
+                        m_context.loop.now(), m_context.known, m_random()),
+                    own_frame());
     });
 }
 
-void peer_gossip::tell()
+void peer_gossip::send_digests()
 {
     routing::peer_table& peers = m_context.peers;
     auto const now = m_context.loop.now();
     peers.forget_silent(now);
     digest_frame const frame = own_frame();
-    bool const is_news = m_news.is_news(frame.digest.loads, now);
+    bool const is_news = m_load_changes.is_news(frame.digest.loads, now);
     auto const audience = peers.audience(now, m_context.known, is_news);
     if (is_news) {
-        m_news.told(frame.digest.loads, now);
+        m_load_changes.told(frame.digest.loads, now);
     }
-    tell_all(audience, frame);
+    send_to_all(audience, frame);
     apply_loads();
-    model::milliseconds const by_size{static_cast<std::int64_t>(
-        1'000.0 * static_cast<double>(peers.nearby()) / most_heard_a_second)};
-    m_timer = m_context.loop.after(std::max(shortest_period, by_size), [this] {
-        tell();
+    model::milliseconds const by_size{
+        static_cast<std::int64_t>(1'000.0 * static_cast<double>(peers.nearby())
+                                  / max_datagrams_per_second)};
+    m_timer = m_context.loop.after(std::max(min_period, by_size), [this] {
+        send_digests();
     });
 }
 
-void peer_gossip::tell_all(
+void peer_gossip::send_to_all(
     std::vector<routing::peer_table::listener> const& audience,
     digest_frame frame)
 {
@@ -159,7 +160,7 @@
         frame.digest.asks = to.asks;
         if (to.wants_names) {
             frame.digest.neighbours = m_context.peers.neighbours_for(
-                to.at, most_neighbours_told, m_random());
+                to.at, max_neighbours_sent, m_random());
         }
         send_to(to.at, frame);
     }
@@ -171,7 +172,7 @@
     if (heard != m_echoes.end()) {
         frame.echoed = heard->second.stamp;
         frame.echo_held = std::chrono::duration_cast<std::chrono::microseconds>(
-            frame.stamp - heard->second.got_at);
+            frame.stamp - heard->second.received_at);
     }
     std::string const bytes = encode_digest(frame);
     sockaddr_in const address = to_socket(to);
@@ -184,9 +185,9 @@
            sizeof address);
 }
 
-void peer_gossip::hear()
+void peer_gossip::receive()
 {
-    static std::array<char, largest_datagram> s_bytes;
+    static std::array<char, max_datagram> s_bytes;
     for (;;) {
         sockaddr_in from{};
         socklen_t size = sizeof from;
@@ -201,12 +202,13 @@
         }
         char text[INET_ADDRSTRLEN] = "";
         inet_ntop(AF_INET, &from.sin_addr, text, sizeof text);
-        take({s_bytes.data(), static_cast<std::size_t>(got)},
-             {text, ntohs(from.sin_port)});
+        handle_digest({s_bytes.data(), static_cast<std::size_t>(got)},
+                      {text, ntohs(from.sin_port)});
     }
 }
 
-void peer_gossip::take(std::string_view bytes, model::endpoint const& from)
+void peer_gossip::handle_digest(std::string_view bytes,
+                                model::endpoint const& from)
 {
     auto frame = decode_digest(bytes);
     if (!frame) {
@@ -221,19 +223,19 @@
         frame->digest.confirmed =
             *frame->echoed + frame->echo_held - *frame->confirmed_age;
     }
-    confirm_by(frame->digest, now);
+    apply_confirmation(frame->digest, now);
     m_context.peers.hear(from, frame->digest, m_context.loop.now());
     routing::store_revisions const& told = frame->digest.known;
     bool const knows_more =
         told.upstreams > m_context.known.upstreams
         || told.configuration > m_context.known.configuration;
-    if (m_on_heard && knows_more) {
-        m_on_heard();
+    if (m_on_newer_revision && knows_more) {
+        m_on_newer_revision();
     }
 }
 
-void peer_gossip::confirm_by(routing::peer_digest const& told,
-                             model::time_point now)
+void peer_gossip::apply_confirmation(routing::peer_digest const& told,
+                                     model::time_point now)
 {
     routing::store_revisions& known = m_context.known;
     if (!known.covers_configuration(told.known)) {
--- a/src/proxy/peer_gossip.hpp
+++ b/src/proxy/peer_gossip.hpp
@@ -32,15 +32,15 @@
     peer_gossip& operator=(peer_gossip const&) = delete;
 
     /// Called when a host is heard first, or again, and when it falls silent.
-    void on_peers_changed(std::function<void(std::size_t alive)> call)
+    void on_peers_changed(std::function<void(std::size_t alive)> callback)
     {
-        m_on_changed = std::move(call);
+        m_on_changed = std::move(callback);
     }
 
     /// Called when a host is heard that has changes which this one lacks.
-    void on_newer_revision(std::function<void()> call)
+    void on_newer_revision(std::function<void()> callback)
     {
-        m_on_heard = std::move(call);
+        m_on_newer_revision = std::move(callback);
     }
 
     /// Tells some others at the end of this turn of a change that they wait
@@ -51,16 +51,17 @@
     struct echo
     {
         model::time_point stamp{};
-        model::time_point got_at{};
+        model::time_point received_at{};
     };
 
-    void tell();
-    void tell_all(std::vector<routing::peer_table::listener> const& audience,
-                  digest_frame frame);
+    void send_digests();
+    void send_to_all(std::vector<routing::peer_table::listener> const& audience,
+                     digest_frame frame);
     void send_to(model::endpoint const& to, digest_frame& frame);
-    void hear();
-    void take(std::string_view bytes, model::endpoint const& from);
-    void confirm_by(routing::peer_digest const& told, model::time_point now);
+    void receive();
+    void handle_digest(std::string_view bytes, model::endpoint const& from);
+    void apply_confirmation(routing::peer_digest const& told,
+                            model::time_point now);
     void apply_loads();
     digest_frame own_frame();
 
@@ -73,10 +74,10 @@
     std::uint64_t m_sequence = 0;
     std::minstd_rand m_random;
     std::map<std::string, echo> m_echoes;
-    routing::load_news m_news;
+    routing::load_news m_load_changes;
     std::size_t m_alive = 0;
     std::function<void(std::size_t)> m_on_changed;
-    std::function<void()> m_on_heard;
+    std::function<void()> m_on_newer_revision;
 };
 
 } // namespace caperjunction::proxy
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -23,14 +23,14 @@
 
 /// A loop that comes to its timers so much later than asked lacks processor
 /// time.
-constexpr model::milliseconds noticeable_delay{250};
+constexpr model::milliseconds min_reported_lateness{250};
 
 /// Part of the last moment in which final answers are sent.
-constexpr model::milliseconds sending_time{100};
+constexpr model::milliseconds final_answer_time{100};
 
 /// Within this time a caller sends the first request on a new connection, or
 /// the next one on a kept one. A stopping host waits for it before it closes.
-constexpr model::milliseconds usual_rest{500};
+constexpr model::milliseconds min_idle_before_close{500};
 
 } // namespace
 
@@ -44,8 +44,12 @@
         AF_INET, context.settings.listen.address.c_str(), &address.sin_addr);
     m_listener = evconnlistener_new_bind(
         context.loop.base(),
-        [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* own) {
-            static_cast<relay*>(own)->serve(socket);
+        [](evconnlistener*,
+           evutil_socket_t socket,
+           sockaddr*,
+           int,
+           void* self) {
+            static_cast<relay*>(self)->serve(socket);
         },
         this,
         LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
@@ -85,21 +89,21 @@
 
 void relay::serve(int socket)
 {
-    auto const made =
+    auto const result =
         std::make_shared<caller>(m_context, [this](caller const* closed) {
             m_callers.erase(closed);
         });
-    m_callers.emplace(made.get(), made);
-    made->serve(socket);
+    m_callers.emplace(result.get(), result);
+    result->serve(socket);
 }
 
-void relay::note_lateness()
+void relay::record_lateness()
 {
     auto const now = m_context.loop.now();
     auto const late = std::chrono::duration_cast<model::milliseconds>(
         now - m_swept_at - sweep_period);
     m_swept_at = now;
-    if (late >= noticeable_delay && m_context.on_loop_late) {
+    if (late >= min_reported_lateness && m_context.on_loop_late) {
         m_context.on_loop_late(late);
     }
 }
@@ -116,7 +120,7 @@
 
 void relay::sweep()
 {
-    note_lateness();
+    record_lateness();
     for (auto const& item : all_callers()) {
         item->check_timeouts();
     }
@@ -156,10 +160,10 @@
         return;
     }
     for (auto const& item : all_callers()) {
-        item->close_if_idle(usual_rest);
+        item->close_if_idle(min_idle_before_close);
     }
     if (m_callers.empty()) {
-        tell_stopped();
+        notify_stopped();
     }
 }
 
@@ -170,16 +174,16 @@
     for (auto const& item : all_callers()) {
         item->stop();
     }
-    m_stop_limit = m_context.loop.after(sending_time, [this] {
-        tell_stopped();
+    m_stop_limit = m_context.loop.after(final_answer_time, [this] {
+        notify_stopped();
     });
 }
 
-void relay::tell_stopped()
+void relay::notify_stopped()
 {
-    auto const call = std::exchange(m_on_stopped, nullptr);
-    if (call) {
-        call();
+    auto const callback = std::exchange(m_on_stopped, nullptr);
+    if (callback) {
+        callback();
     }
 }
 
--- a/src/proxy/relay.hpp
+++ b/src/proxy/relay.hpp
@@ -59,10 +59,10 @@
 
 private:
     void sweep();
-    void note_lateness();
+    void record_lateness();
     void check_stop();
     void end_stop();
-    void tell_stopped();
+    void notify_stopped();
     std::vector<std::shared_ptr<caller>> all_callers() const;
 
     relay_context& m_context;
--- a/src/proxy/request_facts.cpp
+++ b/src/proxy/request_facts.cpp
@@ -18,7 +18,7 @@
 }
 
 /// Takes the text up to the next `separator` off the front of `text`.
-std::string_view take_until(std::string_view& text, char separator)
+std::string_view pop_until(std::string_view& text, char separator)
 {
     std::size_t const at = text.find(separator);
     std::string_view const taken = text.substr(0, at);
@@ -28,9 +28,9 @@
 
 std::uint32_t tokens_of(std::string_view text)
 {
-    constexpr std::uint64_t most = 100'000'000;
+    constexpr std::uint64_t max_tokens = 100'000'000;
     return static_cast<std::uint32_t>(
-        std::min(parse_number(text).value_or(0), most));
+        std::min(parse_number(text).value_or(0), max_tokens));
 }
 
 std::vector<routing::prompt_part> read_parts(std::string_view text)
@@ -38,8 +38,8 @@
     constexpr int base_16 = 16;
     std::vector<routing::prompt_part> parts;
     while (!text.empty()) {
-        std::string_view entry = take_until(text, ',');
-        std::string_view const id = take_until(entry, ':');
+        std::string_view entry = pop_until(text, ',');
+        std::string_view const id = pop_until(entry, ':');
         routing::prompt_part part;
         std::from_chars(id.data(), id.data() + id.size(), part.id, base_16);
         part.tokens = tokens_of(entry);
@@ -80,7 +80,7 @@
             facts.prompt.parts = read_parts(line.value);
         } else if (header_names_equal(line.name, names.token_counts)) {
             std::string_view rest = line.value;
-            facts.prompt.tokens = tokens_of(take_until(rest, ','));
+            facts.prompt.tokens = tokens_of(pop_until(rest, ','));
             facts.prompt.max_output = tokens_of(trimmed(rest));
         }
     }
--- a/src/proxy/store_reader.hpp
+++ b/src/proxy/store_reader.hpp
@@ -54,7 +54,7 @@
                  model::endpoint at,
                  store_codec const& codec,
                  std::string prefix,
-                 store_hooks call);
+                 store_hooks callbacks);
     ~store_reader();
     store_reader(store_reader const&) = delete;
     store_reader& operator=(store_reader const&) = delete;
@@ -81,40 +81,40 @@
     void skip_to(std::uint64_t revision);
 
 private:
-    void rest_or_watch();
+    void wait_or_watch();
     void read_page(std::string const& after_key);
     model::milliseconds next_wait() const;
     void watch();
-    void call(std::string const& target,
-              model::milliseconds limit,
-              std::function<void(int, std::string const&)> on_answer);
-    void take_page(int status, std::string const& body);
-    void take_changes(int status, std::string const& body);
-    void failed(std::string_view why);
-    void succeeded();
+    void send_request(std::string const& target,
+                      model::milliseconds limit,
+                      std::function<void(int, std::string const&)> on_answer);
+    void handle_page(int status, std::string const& body);
+    void handle_changes(int status, std::string const& body);
+    void handle_failure(std::string_view reason);
+    void handle_success();
 
     runtime::event_loop& m_loop;
     model::endpoint m_at;
     store_codec const& m_codec;
     std::string m_prefix;
-    store_hooks m_call;
-    model::milliseconds m_wait{0};
+    store_hooks m_hooks;
+    model::milliseconds m_watch_wait{0};
     /// What the present watch asked for.
-    model::milliseconds m_asked_wait{0};
+    model::milliseconds m_requested_wait{0};
     std::function<model::time_point()> m_boot_now;
 
     http_get m_get;
-    runtime::timer_handle m_again;
+    runtime::timer_handle m_retry_timer;
     model::time_point m_sent_at{};
     model::time_point m_confirmed{};
     std::uint64_t m_revision = 0;
-    bool m_whole = false;
+    bool m_is_complete = false;
     bool m_keeps_watching = true;
-    bool m_is_resting = false;
-    bool m_looks_once = false;
+    bool m_is_idle = false;
+    bool m_polls_once = false;
     std::vector<std::string> m_keys;
     std::uint32_t m_failures = 0;
-    bool m_lost = false;
+    bool m_is_lost = false;
 };
 
 } // namespace caperjunction::proxy
--- a/src/proxy/tcp_stream.cpp
+++ b/src/proxy/tcp_stream.cpp
@@ -21,10 +21,10 @@
 
 } // namespace
 
-tcp_stream::tcp_stream(runtime::event_loop& loop, int socket, hooks call)
+tcp_stream::tcp_stream(runtime::event_loop& loop, int socket, hooks callbacks)
     : m_loop(loop)
     , m_socket(socket)
-    , m_call(std::move(call))
+    , m_hooks(std::move(callbacks))
     , m_unsent(evbuffer_new())
 {
 }
@@ -38,12 +38,12 @@
 std::shared_ptr<tcp_stream> tcp_stream::connect(runtime::event_loop& loop,
                                                 model::endpoint const& to,
                                                 model::milliseconds timeout,
-                                                hooks call)
+                                                hooks callbacks)
 {
     int const socket =
         ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    std::shared_ptr<tcp_stream> made(
-        new tcp_stream(loop, socket, std::move(call)));
+    std::shared_ptr<tcp_stream> result(
+        new tcp_stream(loop, socket, std::move(callbacks)));
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_port = htons(to.port);
@@ -57,32 +57,32 @@
                  == 0
              || errno == EINPROGRESS;
     }
-    std::weak_ptr<tcp_stream> const weak = made;
+    std::weak_ptr<tcp_stream> const weak = result;
     auto const fail = [weak] {
-        if (auto const own = weak.lock()) {
-            own->end(connection_end::unreachable);
+        if (auto const self = weak.lock()) {
+            self->end(connection_end::unreachable);
         }
     };
     if (!ok) {
         loop.defer(fail);
-        return made;
+        return result;
     }
-    made->m_connecting = true;
-    made->watch();
-    event_add(made->m_write, nullptr);
-    made->m_timer = loop.after(timeout, fail);
-    return made;
+    result->m_connecting = true;
+    result->watch();
+    event_add(result->m_write, nullptr);
+    result->m_timer = loop.after(timeout, fail);
+    return result;
 }
 
 std::shared_ptr<tcp_stream>
-tcp_stream::adopt(runtime::event_loop& loop, int socket, hooks call)
+tcp_stream::adopt(runtime::event_loop& loop, int socket, hooks callbacks)
 {
-    std::shared_ptr<tcp_stream> made(
-        new tcp_stream(loop, socket, std::move(call)));
+    std::shared_ptr<tcp_stream> result(
+        new tcp_stream(loop, socket, std::move(callbacks)));
     set_no_delay(socket);
-    made->watch();
-    event_add(made->m_read, nullptr);
-    return made;
+    result->watch();
+    event_add(result->m_read, nullptr);
+    return result;
 }
 
 void tcp_stream::watch()
@@ -105,21 +105,21 @@
         this);
 }
 
-void tcp_stream::set_hooks(hooks call)
+void tcp_stream::set_hooks(hooks callbacks)
 {
-    m_call = std::move(call);
+    m_hooks = std::move(callbacks);
 }
 
 void tcp_stream::handle_readable()
 {
     static std::array<char, read_bytes> s_bytes;
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     ssize_t const got = recv(m_socket, s_bytes.data(), s_bytes.size(), 0);
     if (got > 0) {
         m_late_bytes += m_finishing ? static_cast<std::size_t>(got) : 0;
-        if (!m_finishing && m_call.on_data) {
-            auto const call = m_call.on_data;
-            call({s_bytes.data(), static_cast<std::size_t>(got)});
+        if (!m_finishing && m_hooks.on_data) {
+            auto const callback = m_hooks.on_data;
+            callback({s_bytes.data(), static_cast<std::size_t>(got)});
         }
         return;
     }
@@ -131,7 +131,7 @@
 
 void tcp_stream::handle_writable()
 {
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     if (m_connecting) {
         int failure = 0;
         socklen_t size = sizeof failure;
@@ -143,9 +143,9 @@
         m_connecting = false;
         m_loop.cancel(m_timer);
         event_add(m_read, nullptr);
-        if (m_call.on_connected) {
-            auto const call = m_call.on_connected;
-            call();
+        if (m_hooks.on_connected) {
+            auto const callback = m_hooks.on_connected;
+            callback();
         }
     }
     if (is_open()) {
@@ -169,9 +169,9 @@
         shutdown(m_socket, SHUT_WR);
         return;
     }
-    if (m_call.on_drained) {
-        auto const call = m_call.on_drained;
-        call();
+    if (m_hooks.on_drained) {
+        auto const callback = m_hooks.on_drained;
+        callback();
     }
 }
 
--- a/src/proxy/tcp_stream.hpp
+++ b/src/proxy/tcp_stream.hpp
@@ -49,18 +49,18 @@
     static std::shared_ptr<tcp_stream> connect(runtime::event_loop& loop,
                                                model::endpoint const& to,
                                                model::milliseconds timeout,
-                                               hooks call);
+                                               hooks callbacks);
 
     /// Takes over an accepted socket.
     static std::shared_ptr<tcp_stream>
-    adopt(runtime::event_loop& loop, int socket, hooks call);
+    adopt(runtime::event_loop& loop, int socket, hooks callbacks);
 
     ~tcp_stream();
     tcp_stream(tcp_stream const&) = delete;
     tcp_stream& operator=(tcp_stream const&) = delete;
 
     /// Replaces the hooks, for the next user of a kept connection.
-    void set_hooks(hooks call);
+    void set_hooks(hooks callbacks);
 
     void write(std::string_view bytes);
 
@@ -96,7 +96,7 @@
     }
 
 private:
-    tcp_stream(runtime::event_loop& loop, int socket, hooks call);
+    tcp_stream(runtime::event_loop& loop, int socket, hooks callbacks);
 
     void watch();
     void handle_readable();
@@ -107,7 +107,7 @@
 
     runtime::event_loop& m_loop;
     int m_socket = -1;
-    hooks m_call;
+    hooks m_hooks;
     event* m_read = nullptr;
     event* m_write = nullptr;
     evbuffer* m_unsent = nullptr;
--- a/src/proxy/tcp_stream_close.cpp
+++ b/src/proxy/tcp_stream_close.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 /// Time in which the other side may close after it has been sent all.
-constexpr model::milliseconds closing_time{1'000};
+constexpr model::milliseconds close_timeout{1'000};
 
 /// A caller that takes no byte for so long has left.
-constexpr model::milliseconds longest_stall{10'000};
+constexpr model::milliseconds max_stall{10'000};
 
 } // namespace
 
@@ -35,7 +35,7 @@
     m_finishing = true;
     m_on_finished = std::move(on_finished);
     // Nobody hears of what follows; the owner may go.
-    m_call = {};
+    m_hooks = {};
     enable_reading(true);
     if (unsent_bytes() == 0) {
         shutdown(m_socket, SHUT_WR);
@@ -47,29 +47,29 @@
 void tcp_stream::wait_for_close(std::size_t unsent_before,
                                 model::milliseconds stalled)
 {
-    auto const keep = shared_from_this();
-    m_timer = m_loop.after(closing_time, [keep, unsent_before, stalled] {
-        std::size_t const left = keep->unsent_bytes();
-        bool const moves = left < unsent_before;
-        auto const now_stalled =
-            moves ? model::milliseconds{0} : stalled + closing_time;
-        if (now_stalled >= (left == 0 ? closing_time : longest_stall)) {
-            keep->end(connection_end::own_close);
+    auto const guard = shared_from_this();
+    m_timer = m_loop.after(close_timeout, [guard, unsent_before, stalled] {
+        std::size_t const left = guard->unsent_bytes();
+        bool const has_progressed = left < unsent_before;
+        auto const total_stalled =
+            has_progressed ? model::milliseconds{0} : stalled + close_timeout;
+        if (total_stalled >= (left == 0 ? close_timeout : max_stall)) {
+            guard->end(connection_end::own_close);
             return;
         }
-        keep->wait_for_close(left, now_stalled);
+        guard->wait_for_close(left, total_stalled);
     });
 }
 
 void tcp_stream::end(connection_end how)
 {
     bool const tell = !m_finishing;
-    auto const call = m_call.on_end;
+    auto const callback = m_hooks.on_end;
     auto const on_finished = std::exchange(m_on_finished, nullptr);
     close_report const report{how, unsent_bytes(), m_late_bytes};
     close();
-    if (tell && call) {
-        call(how);
+    if (tell && callback) {
+        callback(how);
     }
     if (on_finished) {
         on_finished(report);
@@ -92,7 +92,7 @@
     m_socket = -1;
     // The hooks keep their owner alive; whoever is being called from one of
     // them holds a copy of it.
-    m_call = {};
+    m_hooks = {};
     m_on_finished = nullptr;
 }
 
--- a/src/proxy/text_packer.cpp
+++ b/src/proxy/text_packer.cpp
@@ -14,7 +14,7 @@
 /// power of two.
 constexpr int window_log = 22;
 
-struct release
+struct context_deleter
 {
     void operator()(ZSTD_CCtx* context) const
     {
@@ -31,7 +31,8 @@
 
 std::string pack_text(std::string_view text, std::string_view base)
 {
-    std::unique_ptr<ZSTD_CCtx, release> const context(ZSTD_createCCtx());
+    std::unique_ptr<ZSTD_CCtx, context_deleter> const context(
+        ZSTD_createCCtx());
     if (!context) {
         throw std::bad_alloc();
     }
@@ -52,15 +53,17 @@
     return packed;
 }
 
-std::optional<std::string>
-unpack_text(std::string_view packed, std::string_view base, std::size_t most)
+std::optional<std::string> unpack_text(std::string_view packed,
+                                       std::string_view base,
+                                       std::size_t max_bytes)
 {
     auto const size = ZSTD_getFrameContentSize(packed.data(), packed.size());
     // The two special values, unknown and error, are larger than any size.
-    if (size > most) {
+    if (size > max_bytes) {
         return std::nullopt;
     }
-    std::unique_ptr<ZSTD_DCtx, release> const context(ZSTD_createDCtx());
+    std::unique_ptr<ZSTD_DCtx, context_deleter> const context(
+        ZSTD_createDCtx());
     if (!context) {
         throw std::bad_alloc();
     }
--- a/src/proxy/text_packer.hpp
+++ b/src/proxy/text_packer.hpp
@@ -19,8 +19,9 @@
 /// aren't that, or the text would be larger than `most` bytes.
 ///
 /// Thread safety: any thread.
-std::optional<std::string>
-unpack_text(std::string_view packed, std::string_view base, std::size_t most);
+std::optional<std::string> unpack_text(std::string_view packed,
+                                       std::string_view base,
+                                       std::size_t max_bytes);
 
 } // namespace caperjunction::proxy
 
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -8,12 +8,12 @@
 
 /// Kept where the upstream doesn't say for how long: short enough for common
 /// servers, which close after five seconds and more.
-constexpr model::milliseconds usual_keep_alive{4'000};
+constexpr model::milliseconds default_keep_alive{4'000};
 /// Between our send and its arrival the upstream may close: a request that
 /// crosses the close may or may not have run.
 constexpr model::milliseconds keep_alive_margin{500};
 
-constexpr std::string_view timeout_word = "timeout=";
+constexpr std::string_view timeout_key = "timeout=";
 
 } // namespace
 
@@ -23,22 +23,22 @@
     , m_at(std::move(at))
     , m_reader(HTTP_RESPONSE,
                {[this](message_head&& head) {
-                    note_keep_alive(head);
-                    auto const call = m_call.on_head;
-                    if (call) {
-                        call(std::move(head));
+                    record_keep_alive(head);
+                    auto const callback = m_hooks.on_head;
+                    if (callback) {
+                        callback(std::move(head));
                     }
                 },
                 [this](std::string_view bytes) {
-                    auto const call = m_call.on_body;
-                    if (!m_skipping && call) {
-                        call(bytes);
+                    auto const callback = m_hooks.on_body;
+                    if (!m_skipping && callback) {
+                        callback(bytes);
                     }
                 },
                 [this] {
                     end_answer();
                 }})
-    , m_keep_alive(usual_keep_alive)
+    , m_keep_alive(default_keep_alive)
 {
 }
 
@@ -50,11 +50,11 @@
 void upstream_connection::send(std::string const& request,
                                bool is_head_request,
                                model::milliseconds connect_timeout,
-                               answer_hooks call)
+                               answer_hooks callbacks)
 {
-    m_free = false;
+    m_is_available = false;
     m_skipping = false;
-    m_call = std::move(call);
+    m_hooks = std::move(callbacks);
     m_reader.expect_no_body(is_head_request);
     if (m_stream == nullptr) {
         m_stream = tcp_stream::connect(
@@ -65,10 +65,10 @@
                  m_connected = true;
              },
              [this](std::string_view bytes) {
-                 take(bytes);
+                 handle_data(bytes);
              },
              [this](connection_end how) {
-                 auto const keep = shared_from_this();
+                 auto const guard = shared_from_this();
                  if (how == connection_end::closed && m_reader.feed_end()) {
                      return;
                  }
@@ -81,11 +81,11 @@
     m_stream->write(request);
 }
 
-void upstream_connection::take(std::string_view bytes)
+void upstream_connection::handle_data(std::string_view bytes)
 {
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     while (!bytes.empty() && m_stream && m_stream->is_open()) {
-        if (m_free) {
+        if (m_is_available) {
             // Bytes after a whole answer belong to no request.
             close();
             return;
@@ -98,16 +98,16 @@
     }
 }
 
-void upstream_connection::note_keep_alive(message_head const& head)
+void upstream_connection::record_keep_alive(message_head const& head)
 {
-    m_keep = m_keep && head.keep_alive;
+    m_is_reusable = m_is_reusable && head.keep_alive;
     std::string const* const line = head.find("Keep-Alive");
     std::size_t const at =
-        line == nullptr ? std::string::npos : line->find(timeout_word);
+        line == nullptr ? std::string::npos : line->find(timeout_key);
     if (at == std::string::npos) {
         return;
     }
-    std::string const text = line->substr(at + timeout_word.size());
+    std::string const text = line->substr(at + timeout_key.size());
     auto const value = parse_number(
         std::string_view(text).substr(0, text.find_first_not_of("0123456789")));
     if (value) {
@@ -122,37 +122,37 @@
 void upstream_connection::skip_answer()
 {
     m_skipping = true;
-    m_keep = false;
+    m_is_reusable = false;
 }
 
 void upstream_connection::end_answer()
 {
-    auto const keep = shared_from_this();
+    auto const guard = shared_from_this();
     if (m_skipping) {
         m_skipping = false;
         return;
     }
     // An upstream may answer before it has the whole request and then read
     // on: what is unsent would be taken for the next request.
-    m_keep = m_keep && m_stream->unsent_bytes() == 0;
-    m_free = true;
+    m_is_reusable = m_is_reusable && m_stream->unsent_bytes() == 0;
+    m_is_available = true;
     m_idle_since = m_loop.now();
-    auto const call = std::exchange(m_call, {});
-    if (!m_keep) {
+    auto const callbacks = std::exchange(m_hooks, {});
+    if (!m_is_reusable) {
         close();
     }
-    if (call.on_end) {
-        call.on_end();
+    if (callbacks.on_end) {
+        callbacks.on_end();
     }
 }
 
-void upstream_connection::fail(answer_fault why)
+void upstream_connection::fail(answer_fault fault)
 {
-    auto const keep = shared_from_this();
-    auto const call = std::exchange(m_call, {});
+    auto const guard = shared_from_this();
+    auto const callbacks = std::exchange(m_hooks, {});
     close();
-    if (call.on_fault) {
-        call.on_fault(why);
+    if (callbacks.on_fault) {
+        callbacks.on_fault(fault);
     }
 }
 
@@ -165,8 +165,8 @@
 
 void upstream_connection::close()
 {
-    m_keep = false;
-    m_call = {};
+    m_is_reusable = false;
+    m_hooks = {};
     if (m_stream) {
         m_stream->close();
     }
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -53,7 +53,7 @@
     void send(std::string const& request,
               bool is_head_request,
               model::milliseconds connect_timeout,
-              answer_hooks call);
+              answer_hooks callbacks);
 
     /// Ends the connection and with it the work that the upstream does.
     void close();
@@ -68,7 +68,7 @@
     /// May serve another request.
     bool is_available() const
     {
-        return m_free && m_keep;
+        return m_is_available && m_is_reusable;
     }
 
     bool is_open() const
@@ -94,19 +94,19 @@
     }
 
 private:
-    void take(std::string_view bytes);
+    void handle_data(std::string_view bytes);
     void end_answer();
-    void fail(answer_fault why);
-    void note_keep_alive(message_head const& head);
+    void fail(answer_fault fault);
+    void record_keep_alive(message_head const& head);
 
     runtime::event_loop& m_loop;
     model::endpoint m_at;
     std::shared_ptr<tcp_stream> m_stream;
     http_reader m_reader;
-    answer_hooks m_call;
+    answer_hooks m_hooks;
     bool m_connected = false;
-    bool m_free = true;
-    bool m_keep = true;
+    bool m_is_available = true;
+    bool m_is_reusable = true;
     bool m_skipping = false;
     model::time_point m_idle_since{};
     model::milliseconds m_keep_alive;
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -19,12 +19,12 @@
 std::shared_ptr<upstream_connection>
 upstream_pool::acquire(routing::upstream_ptr const& upstream)
 {
-    auto const found = m_kept.find(upstream.get());
-    if (found != m_kept.end()) {
-        auto& free = found->second.free;
-        while (!free.empty()) {
-            auto last = std::move(free.back());
-            free.pop_back();
+    auto const found = m_idle.find(upstream.get());
+    if (found != m_idle.end()) {
+        auto& connections = found->second.connections;
+        while (!connections.empty()) {
+            auto last = std::move(connections.back());
+            connections.pop_back();
             if (is_usable(*last)) {
                 return last;
             }
@@ -42,25 +42,27 @@
         connection->close();
         return;
     }
-    kept& place = m_kept[upstream.get()];
-    place.upstream = upstream;
-    place.free.push_back(std::move(connection));
+    idle_set& entry = m_idle[upstream.get()];
+    entry.upstream = upstream;
+    entry.connections.push_back(std::move(connection));
 }
 
 void upstream_pool::close_idle()
 {
-    for (auto item = m_kept.begin(); item != m_kept.end();) {
-        auto& free = item->second.free;
+    for (auto item = m_idle.begin(); item != m_idle.end();) {
+        auto& connections = item->second.connections;
         bool const is_gone = item->second.upstream->gone;
-        auto const stale = std::partition(
-            free.begin(), free.end(), [&](auto const& connection) {
-                return !is_gone && is_usable(*connection);
-            });
-        std::for_each(stale, free.end(), [](auto const& connection) {
+        auto const stale =
+            std::partition(connections.begin(),
+                           connections.end(),
+                           [&](auto const& connection) {
+                               return !is_gone && is_usable(*connection);
+                           });
+        std::for_each(stale, connections.end(), [](auto const& connection) {
             connection->close();
         });
-        free.erase(stale, free.end());
-        item = free.empty() ? m_kept.erase(item) : std::next(item);
+        connections.erase(stale, connections.end());
+        item = connections.empty() ? m_idle.erase(item) : std::next(item);
     }
 }
 
--- a/src/proxy/upstream_pool.hpp
+++ b/src/proxy/upstream_pool.hpp
@@ -41,16 +41,16 @@
     }
 
 private:
-    struct kept
+    struct idle_set
     {
         routing::upstream_ptr upstream;
-        std::vector<std::shared_ptr<upstream_connection>> free;
+        std::vector<std::shared_ptr<upstream_connection>> connections;
     };
 
     bool is_usable(upstream_connection const& connection) const;
 
     runtime::event_loop& m_loop;
-    std::map<routing::upstream_state const*, kept> m_kept;
+    std::map<routing::upstream_state const*, idle_set> m_idle;
     std::uint64_t m_opened = 0;
 };
 
