--- a/bench/fleet_bench/virtual_fleet.cpp
+++ b/bench/fleet_bench/virtual_fleet.cpp
@@ -66,7 +66,7 @@
 
 void virtual_fleet::publish_hosts()
 {
-    model::hosts list;
+    model::host_list list;
     list.revision = m_revision + 1;
     for (std::string const& name : m_listed) {
         list.members.push_back(m_hosts.at(name).host);
@@ -207,7 +207,7 @@
     }
     if (!made.paused) {
         give(made,
-             fleet::digest_made{
+             fleet::digest_updated{
                  std::vector<std::uint8_t>(m_settings.digest_bytes, 1)});
     }
     at(m_now + m_settings.digest_period, [this, name, process] {
--- a/tests/fleet/claim_fleet.hpp
+++ b/tests/fleet/claim_fleet.hpp
@@ -229,7 +229,7 @@
         auto const bucket = fleet::claim_bucket(key(), m_settings.buckets);
         std::size_t count = 0;
         for (auto const& [name, one] : m_hosts) {
-            count += one.witness.votes(bucket) ? 1 : 0;
+            count += one.witness.has_vote(bucket) ? 1 : 0;
         }
         return count;
     }
@@ -266,7 +266,7 @@
 
     std::shared_ptr<fleet::claim_view const> make_list() const
     {
-        model::hosts hosts;
+        model::host_list hosts;
         hosts.revision = m_revision;
         for (auto const& name : m_listed) {
             model::host host;
