--- a/src/proxy/answer_sink.hpp
+++ b/src/proxy/answer_sink.hpp
@@ -7,20 +7,21 @@
 
 namespace caperjunction::proxy {
 
-/// The way back to a caller, for one request.
+/// Callbacks through which an exchange sends its answer to the caller.
 struct answer_sink
 {
     std::function<void(std::string_view)> write;
-    /// The answer is whole, or (false) will never be: the connection is cut,
-    /// so that it can't be taken for whole.
+    /// Ends the answer. `complete` is false if the answer was cut off: the
+    /// connection is then reset, so that the caller can't mistake a partial
+    /// answer for a complete one.
     std::function<void(bool complete)> end;
-    /// Whether the connection can serve another request afterwards; what the
-    /// answer's head then says holds.
+    /// Returns whether the connection can serve another request. The answer's
+    /// head announces the result, and the connection keeps to it.
     std::function<bool()> keeps_alive;
-    /// Whether the caller is still there, by what has come from it by now; if
-    /// not, its request has been cancelled when this returns.
+    /// Reads pending input and returns whether the caller is still connected.
+    /// If it isn't, its request has been cancelled by the time this returns.
     std::function<bool()> is_connected;
-    /// Bytes that the caller has not taken yet.
+    /// Bytes written that the socket has not accepted yet.
     std::function<std::size_t()> unsent_bytes;
 };
 
--- a/src/proxy/caller.cpp
+++ b/src/proxy/caller.cpp
@@ -48,7 +48,7 @@
 {
     m_phase_start = m_context.loop.now();
     m_idle_timeout = limits().idle_timeout;
-    // The hooks keep this caller alive until its connection is over.
+    // The hooks keep this caller alive until its connection has ended.
     auto const self = shared_from_this();
     m_stream = tcp_stream::adopt(m_context.loop,
                                  socket,
@@ -56,8 +56,8 @@
                                   [self](std::string_view bytes) {
                                       self->handle_data(bytes);
                                   },
-                                  [self](connection_end how) {
-                                      self->connection_ended(how);
+                                  [self](connection_end reason) {
+                                      self->connection_ended(reason);
                                   },
                                   [self] {
                                       self->handle_drained();
@@ -70,7 +70,8 @@
         m_exchange->handle_drained();
         return;
     }
-    // The caller rests from here on, not from its answer's end at this host.
+    // The idle time starts when the answer has been handed to the socket, not
+    // when the upstream has finished it.
     if (m_reader.is_between_messages()) {
         m_phase_start = m_context.loop.now();
     }
--- a/src/proxy/caller.hpp
+++ b/src/proxy/caller.hpp
@@ -15,38 +15,39 @@
 
 namespace caperjunction::proxy {
 
-/// A caller's connection: reads requests and serves them one by one.
+/// A caller's connection. Reads requests and serves them one at a time.
 ///
 /// Thread safety: none; owned by the loop's task.
 class caller : public std::enable_shared_from_this<caller>
 {
 public:
-    /// `on_closed` is called once, when the connection is over.
+    /// `on_closed` is called once, when the connection has ended.
     caller(relay_context& context,
            std::function<void(caller const*)> on_closed);
     ~caller();
     caller(caller const&) = delete;
     caller& operator=(caller const&) = delete;
 
-    /// Takes over an accepted socket. \pre Called once.
+    /// Takes ownership of an accepted socket. \pre Called once.
     void serve(int socket);
 
-    /// Ends what has been slow or idle for too long.
+    /// Closes the connection or rejects its request if it exceeds the time
+    /// limits.
     void check_timeouts();
 
-    /// Closes the connection if no request is on its way, none has come by
-    /// now, and the last answer is at least `rest` old.
+    /// Closes the connection if it is not busy, no request has arrived by now,
+    /// and at least `min_idle` has passed since the last answer.
     void close_if_idle(model::milliseconds min_idle);
 
-    /// The process is about to end: gives a final answer to the request that
-    /// is served, and closes the connection.
+    /// Called shortly before the process exits. Sends a final answer to the
+    /// current request and closes the connection.
     void stop();
 
-    /// Ends the connection and the work for its request, without a word.
+    /// Closes the connection and cancels its request without an answer.
     void abort();
 
-    /// A request is being read or served, or waits for its turn, or its
-    /// answer is still being sent.
+    /// Whether a request is being read, served or queued, or an answer is still
+    /// being sent.
     bool is_busy() const
     {
         return m_exchange != nullptr || !m_reader.is_between_messages()
@@ -54,7 +55,8 @@
     }
 
 private:
-    /// Bytes of a next request that are held while one is served.
+    /// Maximum bytes of pipelined requests that are buffered while a request is
+    /// served; reading stops beyond it.
     static constexpr std::size_t max_pending = 65'536;
 
     void handle_data(std::string_view bytes);
@@ -68,7 +70,7 @@
     void end_exchange(bool complete);
     void reject(routing::refusal_reason reason);
     void release_body();
-    void connection_ended(connection_end how);
+    void connection_ended(connection_end reason);
     void close_gracefully();
     void report_end(close_report const& left);
     std::string_view activity() const;
@@ -85,18 +87,19 @@
     http_reader m_reader;
     message_head m_head;
     std::string m_body;
-    /// Bytes that came while a request was being served.
+    /// Bytes received while a request was being served.
     std::string m_pending;
     std::shared_ptr<exchange> m_exchange;
     std::size_t m_buffered_bytes = 0;
     bool m_has_head = false;
     bool m_closing = false;
-    /// The present answer's head lets the caller send another request.
+    /// Whether the current answer's head allowed the caller to send another
+    /// request.
     bool m_keep_alive_announced = false;
-    /// The idle limit that stood when the connection began to rest.
+    /// Idle timeout that was configured when the connection became idle.
     model::milliseconds m_idle_timeout{0};
-    /// When the present request's first byte, or the last answer's last,
-    /// went by.
+    /// Time of the current request's first byte, or of the last answer's last
+    /// byte.
     model::time_point m_phase_start{};
 };
 
--- a/src/proxy/caller_end.cpp
+++ b/src/proxy/caller_end.cpp
@@ -19,14 +19,15 @@
     m_phase_start = m_context.loop.now();
     m_idle_timeout = limits().idle_timeout;
     if (!complete) {
-        // A plain end could be taken for that of a body without length.
+        // A normal close could be mistaken for the end of a body without a
+        // length.
         m_closing = true;
         m_stream->reset();
         m_on_closed(this);
         return;
     }
-    // A caller that was told that it may send another request does so at
-    // once, whatever has come about since.
+    // A caller whose last answer announced keep-alive may send its next request
+    // immediately, even if this host has started to stop since.
     if (!m_keep_alive_announced) {
         close_gracefully();
         return;
@@ -35,7 +36,7 @@
         m_stream->enable_reading(true);
         return;
     }
-    // Not from here: the answer's last hook is still running.
+    // Deferred, because the last hook of the answer is still running.
     std::weak_ptr<caller> const weak = weak_from_this();
     m_context.loop.defer([weak] {
         if (auto const self = weak.lock()) {
@@ -78,12 +79,12 @@
     close_gracefully();
 }
 
-void caller::connection_ended(connection_end how)
+void caller::connection_ended(connection_end reason)
 {
     auto const guard = shared_from_this();
-    report_end({how, m_stream->unsent_bytes(), 0});
+    report_end({reason, m_stream->unsent_bytes(), 0});
     if (auto const current = std::exchange(m_exchange, nullptr)) {
-        current->cancel(to_string(how));
+        current->cancel(to_string(reason));
     }
     if (!m_closing) {
         m_closing = true;
@@ -112,8 +113,9 @@
     m_stream->close();
 }
 
-// A last answer may still be on its way out, and the process must not end
-// before it is: the connection is over when the other side has closed too.
+// The last answer may still be in the send buffer, and the process must not
+// exit before it is sent. The connection has ended when the peer has closed
+// too.
 void caller::close_gracefully()
 {
     m_closing = true;
@@ -187,22 +189,23 @@
         return;
     }
     auto const guard = shared_from_this();
-    // The rest may be here, and this host late.
+    // The rest of the request may already be in the socket if this host is
+    // behind.
     m_stream->read_available();
     if (!m_exchange && !m_closing && !m_reader.is_between_messages()) {
         reject(routing::refusal_reason::caller_too_slow);
     }
 }
 
-// A request that crosses the close must stay unread: its caller is then told
-// by a reset, and may send it again.
+// A request that arrives during the close must stay unread: the caller then
+// gets a reset and knows that it may send the request again.
 void caller::close_if_idle(model::milliseconds min_idle)
 {
     if (is_busy() || m_closing || elapsed() < min_idle) {
         return;
     }
     auto const guard = shared_from_this();
-    // A request that is here already is served.
+    // A request that has already arrived is served.
     m_stream->read_available();
     if (is_busy() || m_closing) {
         return;
--- a/src/proxy/connection_end.hpp
+++ b/src/proxy/connection_end.hpp
@@ -11,22 +11,22 @@
 /// How a connection ended.
 enum class connection_end : std::uint8_t
 {
-    /// The other side has sent all that it will send.
+    /// The peer closed its sending side.
     closed,
-    /// The other side has reset it; bytes may be lost.
+    /// The peer reset the connection; bytes may be lost.
     reset,
-    /// The other side has acknowledged nothing for too long.
+    /// The peer acknowledged nothing for too long.
     unacknowledged,
-    /// The system ended it for another reason; bytes may be lost.
+    /// The connection failed for another reason; bytes may be lost.
     broken,
-    /// The connection never came about.
+    /// The connection could not be established.
     unreachable,
-    /// This host closed it although the other side hadn't.
+    /// This host closed the connection before the peer did.
     own_close,
 };
 
-/// Stable name, for logs and metrics.
-inline std::string_view to_string(connection_end how)
+/// Returns the stable name for logs and metrics.
+inline std::string_view to_string(connection_end reason)
 {
     constexpr std::array<std::string_view, 6> names{"closed",
                                                     "reset",
@@ -34,7 +34,7 @@
                                                     "broken",
                                                     "unreachable",
                                                     "own_close"};
-    return names[static_cast<std::size_t>(how)];
+    return names[static_cast<std::size_t>(reason)];
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/connection_report.hpp
+++ b/src/proxy/connection_report.hpp
@@ -9,24 +9,28 @@
 
 namespace caperjunction::proxy {
 
-/// How a caller's connection ended, for the log and the metrics.
+/// How a caller's connection ended. For the log and the metrics.
 struct connection_report
 {
     connection_end end = connection_end::closed;
-    /// What the connection was doing: idle, reading (a request is in part
-    /// here), serving, or finishing (the last answer is on its way out).
+    /// State of the connection when it ended: idle, reading (a request was
+    /// partially received), serving, or finishing (the last answer was being
+    /// sent).
     std::string_view activity;
-    /// The request that was served, or the last one; empty if there was none.
+    /// Id of the current or last request; empty if there was none.
     std::string_view id;
-    /// Bytes of answers that the system had not taken.
+    /// Bytes of answers that the socket had not accepted.
     std::size_t unsent_bytes = 0;
-    /// Bytes that came after this host had begun to close, and that nobody
-    /// answers.
+    /// Bytes received after this host had started to close the connection. They
+    /// get no answer.
     std::size_t late_bytes = 0;
-    /// Since the request's first byte, or the last answer's last.
+    /// Time since the request's first byte, or since the last answer's last
+    /// byte.
     model::milliseconds elapsed{0};
 
-    /// A caller that hasn't left may miss an answer.
+    /// Whether the caller may miss an answer: it sent bytes that were not
+    /// handled, or it had neither closed nor reset the connection when its
+    /// answer was cut off.
     bool is_loss() const
     {
         bool const has_left =
--- a/src/proxy/digest_codec.cpp
+++ b/src/proxy/digest_codec.cpp
@@ -40,18 +40,18 @@
     return {{text, from.port()}, from.data_centre(), from.relays()};
 }
 
-constexpr double parts_a_second = 1'000.0;
+constexpr double limit_scale = 1'000.0;
 constexpr std::uint32_t no_limit = std::numeric_limits<std::uint32_t>::max();
 
 wire::Limit to_wire(routing::told_limit const& from)
 {
-    std::uint32_t parts = no_limit;
+    std::uint32_t scaled = no_limit;
     if (from.a_second) {
-        parts = static_cast<std::uint32_t>(
-            std::min(*from.a_second * parts_a_second, no_limit - 1.0));
+        scaled = static_cast<std::uint32_t>(
+            std::min(*from.a_second * limit_scale, no_limit - 1.0));
     }
     auto const age = std::clamp<std::int64_t>(from.age.count(), 0, no_limit);
-    return {from.upstream, parts, static_cast<std::uint32_t>(age)};
+    return {from.upstream, scaled, static_cast<std::uint32_t>(age)};
 }
 
 routing::told_limit from_wire(wire::Limit const& from)
@@ -60,33 +60,33 @@
     result.upstream = from.upstream();
     result.age = model::milliseconds(from.age_ms());
     if (from.millis_a_second() != no_limit) {
-        result.a_second = from.millis_a_second() / parts_a_second;
+        result.a_second = from.millis_a_second() / limit_scale;
     }
     return result;
 }
 
 using load_list = flatbuffers::Vector<wire::Work const*>;
 
-/// Parts of a whole slowness in a message.
-constexpr double slowness_parts = 64.0;
+/// Units per 1.0 of a slowdown factor in a message.
+constexpr double slowdown_scale = 64.0;
 
 std::uint16_t bounded(double value)
 {
-    constexpr double most = std::numeric_limits<std::uint16_t>::max();
-    return static_cast<std::uint16_t>(std::clamp(value, 0.0, most));
+    constexpr double max_value = std::numeric_limits<std::uint16_t>::max();
+    return static_cast<std::uint16_t>(std::clamp(value, 0.0, max_value));
 }
 
 wire::Work to_wire(routing::peer_load const& from)
 {
-    double const slowness =
+    double const slowdown =
         from.pace.voters == 0
             ? 0.0
-            : std::max(1.0, from.pace.slowness * slowness_parts);
+            : std::max(1.0, from.pace.slowness * slowdown_scale);
     return {from.upstream,
             static_cast<std::uint32_t>(from.load.unread_tokens),
             bounded(from.load.running),
             bounded(from.load.urgent),
-            bounded(slowness),
+            bounded(slowdown),
             bounded(static_cast<double>(from.pace.pause.count()))};
 }
 
@@ -97,7 +97,7 @@
     result.load = {from.running(), from.unread_tokens(), from.urgent()};
     result.pace.voters = from.slowness() == 0 ? 0 : 1;
     result.pace.slowness =
-        result.pace.voters == 0 ? 1.0 : from.slowness() / slowness_parts;
+        result.pace.voters == 0 ? 1.0 : from.slowness() / slowdown_scale;
     result.pace.pause = model::milliseconds(from.pause_ms());
     return result;
 }
@@ -145,8 +145,8 @@
     flatbuffers::FlatBufferBuilder builder;
     auto const limit_list = builder.CreateVectorOfStructs(limits);
     auto const load_list = to_wire(builder, from.loads);
-    auto const sum_list = to_wire(builder, from.sums);
-    auto const beyond_list = to_wire(builder, from.beyond);
+    auto const aggregated_list = to_wire(builder, from.sums);
+    auto const remote_list = to_wire(builder, from.beyond);
     auto const suspect_list = builder.CreateVectorOfStructs(suspects);
     auto const neighbour_list = builder.CreateVectorOfStructs(neighbours);
     wire::DigestBuilder result(builder);
@@ -173,7 +173,8 @@
     result.add_centres(from.centres);
     result.add_relays(from.relays);
     result.add_asks(from.asks);
-    // Earlier versions take it for all changes, and confirm keys by it.
+    // Hosts of earlier versions use this field as the revision of all changes,
+    // and confirm keys by it.
     result.add_revision(std::max(
         {from.known.upstreams, from.known.configuration, from.known.checked}));
     result.add_upstreams_revision(from.known.upstreams);
@@ -182,8 +183,8 @@
     result.add_data_centre(from.data_centre);
     result.add_speaks(from.speaks);
     result.add_limits(limit_list);
-    result.add_work_sums(sum_list);
-    result.add_works_beyond(beyond_list);
+    result.add_work_sums(aggregated_list);
+    result.add_works_beyond(remote_list);
     builder.Finish(result.Finish());
     return text_of(builder);
 }
--- a/src/proxy/digest_codec.hpp
+++ b/src/proxy/digest_codec.hpp
@@ -12,24 +12,24 @@
 
 namespace caperjunction::proxy {
 
-/// A digest with what a datagram needs beside it.
+/// A digest and the fields that accompany it in a datagram.
 struct digest_frame
 {
     routing::peer_digest digest;
-    /// The sender's clock when it was sent.
+    /// Time of sending, by the sender's clock.
     model::time_point stamp{};
-    /// The last stamp that the sender got from the receiver, and for how
-    /// long it has had it.
+    /// Last stamp that the sender received from the receiver, and the time
+    /// between that receipt and this send.
     std::optional<model::time_point> echoed;
     std::chrono::microseconds echo_held{0};
-    /// How long before the send the store had confirmed the sender's
-    /// configuration.
+    /// Age of the store's last confirmation of the sender's configuration, at
+    /// the time of sending.
     std::optional<std::chrono::microseconds> confirmed_age;
 };
 
 std::string encode_digest(digest_frame const& frame);
 
-/// Nothing if the bytes are no digest.
+/// Returns std::nullopt if the bytes are not a valid digest.
 std::optional<digest_frame> decode_digest(std::string_view bytes);
 
 } // namespace caperjunction::proxy
--- a/src/proxy/event_framer.cpp
+++ b/src/proxy/event_framer.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::string_view id_field = "id:";
 
-/// Where the last whole event of `text` ends; 0 if none is whole.
+/// Returns the end of the last complete event of `text`; 0 if there is none.
 std::size_t end_of_last_event(std::string_view text)
 {
     std::size_t best = 0;
--- a/src/proxy/event_framer.hpp
+++ b/src/proxy/event_framer.hpp
@@ -8,26 +8,28 @@
 
 namespace caperjunction::proxy {
 
-/// Passes on the whole events of a stream and remembers the last one's id.
+/// Splits a stream into complete server-sent events and records the id of the
+/// last one.
 ///
-/// An upstream may break in the middle of an event. Were the first half
-/// passed on, a stream that goes on elsewhere would join two halves.
+/// An upstream may fail in the middle of an event. If the first part of that
+/// event were forwarded, a stream that is resumed at another upstream would
+/// join two partial events.
 ///
-/// Thread safety: none; one for each try.
+/// Thread safety: none; one instance per attempt.
 class event_framer
 {
 public:
-    /// Takes bytes; gives those that end the events that are now whole.
-    /// Valid until the next call.
+    /// Appends `bytes` and returns the bytes of all events that are now
+    /// complete. The result is valid until the next call.
     std::string_view feed(std::string_view bytes);
 
-    /// What is left of an event whose end has not come.
+    /// Bytes of the last event, which is still incomplete.
     std::string_view partial_event() const
     {
         return m_partial;
     }
 
-    /// The id of the last whole event; empty if none had one.
+    /// Id of the last complete event that had one; empty if none had.
     std::string const& last_id() const
     {
         return m_last_id;
--- a/src/proxy/event_gap_meter.hpp
+++ b/src/proxy/event_gap_meter.hpp
@@ -10,17 +10,17 @@
 
 namespace caperjunction::proxy {
 
-/// The longest time between two events of a stream.
+/// Measures the longest time between two events of a stream.
 ///
-/// An engine that reads long prompts beside a stream makes its events come
-/// in jerks. The first event is on time then, and only this shows what its
-/// caller sees.
+/// An engine that prefills long prompts while it serves a stream delivers the
+/// stream's events in bursts. The first event is on time in that case, so only
+/// the gaps show the delay that the caller sees.
 ///
 /// Thread safety: none; owned by one task.
 class event_gap_meter
 {
 public:
-    /// Events have come at `now`; gives the pause before them.
+    /// Records events received at `now`. Returns the gap before them.
     std::optional<model::milliseconds> record(model::time_point now)
     {
         auto const last = std::exchange(m_last, now);
@@ -31,7 +31,7 @@
         return std::chrono::duration_cast<model::milliseconds>(now - *last);
     }
 
-    /// Zero if there was no second event.
+    /// Returns zero if there was no second event.
     model::milliseconds longest() const
     {
         return std::chrono::duration_cast<model::milliseconds>(m_longest);
--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -8,8 +8,8 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// Kept for the answer's way back, so that it arrives before the caller
-/// gives up.
+/// Reserved for sending the answer, so that it arrives before the caller's
+/// deadline.
 constexpr model::milliseconds return_margin{20};
 
 model::milliseconds since(model::time_point from, model::time_point now)
@@ -28,7 +28,7 @@
     , m_head(std::move(head))
     , m_body(std::move(body))
     , m_sink(std::move(sink))
-    , m_facts(read_facts(m_head, context.names))
+    , m_metadata(read_metadata(m_head, context.names))
     , m_arrived(context.loop.now())
     , m_arrived_boot(arrived_boot)
     , m_since_stop(context.since_stop())
@@ -44,21 +44,24 @@
 void exchange::start()
 {
     m_table = m_context.table;
-    if (m_facts.id.empty()) {
+    if (m_metadata.id.empty()) {
         refuse(reason_code::malformed);
         return;
     }
-    auto const admitted = routing::admit(
-        m_table.get(),
-        m_context.keys,
-        {m_facts.authority, m_facts.path, m_facts.key, m_arrived_boot});
+    auto const admitted = routing::admit(m_table.get(),
+                                         m_context.keys,
+                                         {m_metadata.authority,
+                                          m_metadata.path,
+                                          m_metadata.key,
+                                          m_arrived_boot});
     m_route = admitted.route;
     if (admitted.refused) {
         refuse(*admitted.refused);
         return;
     }
-    if (!m_context.accepts_new_request(std::min(
-            m_facts.deadline.value_or(m_route->timeout), m_route->timeout))) {
+    if (!m_context.accepts_new_request(
+            std::min(m_metadata.deadline.value_or(m_route->timeout),
+                     m_route->timeout))) {
         refuse(reason_code::stopping);
         return;
     }
@@ -67,7 +70,7 @@
         m_team = admitted.team->name;
     }
     m_service = routing::route_table::pick_service(
-        *m_route, std::hash<std::string>{}(m_facts.id));
+        *m_route, std::hash<std::string>{}(m_metadata.id));
     auto const& routes = m_table->lists().routes;
     m_is_most_urgent = std::none_of(
         routes.begin(), routes.end(), [&](routing::route const& other) {
@@ -78,8 +81,8 @@
             return other.by_prompt && other.rank > m_route->rank;
         });
     m_context.allowance(m_service).record_request();
-    auto const timeout =
-        std::min(m_facts.deadline.value_or(m_route->timeout), m_route->timeout);
+    auto const timeout = std::min(
+        m_metadata.deadline.value_or(m_route->timeout), m_route->timeout);
     m_deadline = m_arrived + std::max(timeout - return_margin, return_margin);
     auto const weak = weak_from_this();
     m_deadline_timer =
@@ -139,7 +142,7 @@
     m_report.status = refused.status;
     m_report.reason = routing::to_string(refused.reason);
     m_sink.write(refusal_text(refused,
-                              m_facts.id,
+                              m_metadata.id,
                               m_context.names,
                               m_sink.keeps_alive(),
                               is_head_request()));
@@ -148,7 +151,7 @@
 
 void exchange::fill_report()
 {
-    m_report.id = m_facts.id;
+    m_report.id = m_metadata.id;
     m_report.route = m_route == nullptr ? "" : std::string_view(m_route->name);
     m_report.service = m_service;
     m_report.team = m_team;
--- a/src/proxy/exchange.hpp
+++ b/src/proxy/exchange.hpp
@@ -7,7 +7,7 @@
 #include "proxy/exchange_report.hpp"
 #include "proxy/message_head.hpp"
 #include "proxy/relay_context.hpp"
-#include "proxy/request_facts.hpp"
+#include "proxy/request_metadata.hpp"
 #include "proxy/upstream_connection.hpp"
 #include "routing/admission.hpp"
 #include "routing/pick.hpp"
@@ -19,8 +19,8 @@
 
 namespace caperjunction::proxy {
 
-/// One request on its way: admitted, placed, sent, perhaps sent again, and
-/// its answer passed on.
+/// Handles one request: admission, placement, sending, retries, and forwarding
+/// of the answer.
 ///
 /// Thread safety: none; owned by the loop's task.
 class exchange : public std::enable_shared_from_this<exchange>
@@ -37,19 +37,20 @@
     exchange(exchange const&) = delete;
     exchange& operator=(exchange const&) = delete;
 
-    /// Decides and sends. The port may be called before it returns.
+    /// Admits, places and sends the request. May call the sink before it
+    /// returns.
     void start();
 
-    /// The caller's connection is over: the work is ended at the upstream
-    /// too, at once. `ended_by` names who ended the connection and must stay
-    /// valid.
+    /// Called when the caller's connection has ended. Cancels the work at the
+    /// upstream immediately. `ended_by` names who ended the connection and must
+    /// remain valid.
     void cancel(std::string_view ended_by);
 
-    /// The process is about to end: the caller gets its final answer now, or
-    /// its answer is cut if it has begun.
+    /// Called shortly before the process exits. Sends a final answer, or cuts
+    /// off an answer that has already started.
     void stop();
 
-    /// The caller has taken what was written.
+    /// Called when all written bytes have been handed to the socket.
     void handle_drained();
 
 private:
@@ -108,7 +109,7 @@
     message_head m_head;
     std::string m_body;
     answer_sink m_sink;
-    request_facts m_facts;
+    request_metadata m_metadata;
     std::shared_ptr<routing::route_table const> m_table;
     routing::route const* m_route = nullptr;
     std::string m_team;
@@ -124,7 +125,7 @@
     runtime::timer_handle m_deadline_timer;
     runtime::timer_handle m_silence_timer;
 
-    // The present try.
+    // State of the current attempt.
     routing::upstream_ptr m_upstream;
     std::shared_ptr<upstream_connection> m_connection;
     routing::pick m_pick;
@@ -137,7 +138,7 @@
     event_framer m_framer;
     bool m_is_stream = false;
 
-    // All tries.
+    // State over all attempts.
     routing::try_state m_state;
     std::vector<std::string> m_attempted;
     bool m_may_have_run = false;
--- a/src/proxy/exchange_answer.cpp
+++ b/src/proxy/exchange_answer.cpp
@@ -13,11 +13,12 @@
 constexpr int misdirected = 421;
 constexpr int first_failure = 500;
 
-/// Answers up to this size are passed on when they are whole, so that a
-/// broken one can be tried again; longer ones as they come.
+/// Answers up to this size are forwarded only when complete, so that a failed
+/// attempt can be retried. Larger answers are forwarded as they arrive.
 constexpr std::size_t max_buffered_answer = 262'144;
 
-/// Bytes that may wait for a slow caller before its upstream is held up.
+/// Bytes that may be buffered for a slow caller before reading from the
+/// upstream is paused.
 constexpr std::size_t max_unsent = 262'144;
 
 bool is_success(message_head const& head)
@@ -36,12 +37,12 @@
 
 } // namespace
 
-// A second or late answer of an earlier request may stand where ours is
-// expected; passed on, a caller would get another one's booking.
+// A connection may deliver a duplicate or late answer to an earlier request. If
+// it were forwarded, a caller would get the booking of another caller.
 bool exchange::has_own_request_id(message_head const& head)
 {
     std::string const* const id = head.find(m_context.names.request_id);
-    return id != nullptr && *id == m_facts.id;
+    return id != nullptr && *id == m_metadata.id;
 }
 
 void exchange::handle_head(message_head&& head)
@@ -75,8 +76,8 @@
     bool const is_failure = head.status >= first_failure;
     if (is_failure) {
         m_upstream->health.record_failure(m_context.loop.now());
-        // Without another try the upstream's own answer says more than one
-        // of ours.
+        // If no retry is possible, the upstream's answer is more useful to the
+        // caller than a generated one.
         if (m_has_begun || can_retry(try_end::failed)) {
             attempt_ended(try_end::failed);
             return;
@@ -95,9 +96,9 @@
 void exchange::record_first_byte()
 {
     auto const now = m_context.loop.now();
-    auto const took =
+    auto const wait =
         std::chrono::duration_cast<model::milliseconds>(now - m_sent_at);
-    m_report.upstream_wait = took;
+    m_report.upstream_wait = wait;
     m_upstream->own_pace.end(m_performance_ticket, now);
     if (m_report.first_byte.count() < 0) {
         m_report.first_byte =
@@ -150,11 +151,12 @@
         std::string_view const complete = m_framer.feed(bytes);
         if (m_framer.events() > before) {
             m_events += m_framer.events() - before;
-            auto const pause = m_event_gaps.record(m_upstream->heard_at);
-            // The first event of a try that goes on after another tells of
-            // both.
-            if (pause && before > 0) {
-                m_upstream->own_pace.note_pause(*pause, m_upstream->heard_at);
+            auto const gap = m_event_gaps.record(m_upstream->heard_at);
+            // The gap before the first event of a resumed attempt includes time
+            // spent at the previous upstream, so it is not attributed to this
+            // one.
+            if (gap && before > 0) {
+                m_upstream->own_pace.note_pause(*gap, m_upstream->heard_at);
             }
         }
         if (!m_framer.last_id().empty()) {
--- a/src/proxy/exchange_place.cpp
+++ b/src/proxy/exchange_place.cpp
@@ -10,7 +10,7 @@
 {
     routing::pick_request request;
     request.route = m_route;
-    request.prompt = &m_facts.prompt;
+    request.prompt = &m_metadata.prompt;
     request.service = m_service;
     request.body_bytes = m_body.size();
     request.tried = &m_attempted;
@@ -20,8 +20,8 @@
     return request;
 }
 
-// Silence isn't failure: the present upstream may still answer, and is left
-// only for one that can.
+// A silent upstream may still answer. It is abandoned only if another one can
+// answer in time.
 bool exchange::has_alternative()
 {
     auto const other =
@@ -40,13 +40,15 @@
     return chosen;
 }
 
-// The same path, caller and body come again under a new id.
+// Identifies a request by path, key and body: a caller repeats a request under
+// a new id.
 std::uint64_t exchange::fingerprint()
 {
     if (m_fingerprint == 0) {
-        m_fingerprint = XXH3_64bits(m_body.data(), m_body.size())
-                        ^ XXH3_64bits(m_facts.path.data(), m_facts.path.size())
-                        ^ XXH3_64bits(m_facts.key.data(), m_facts.key.size());
+        m_fingerprint =
+            XXH3_64bits(m_body.data(), m_body.size())
+            ^ XXH3_64bits(m_metadata.path.data(), m_metadata.path.size())
+            ^ XXH3_64bits(m_metadata.key.data(), m_metadata.key.size());
     }
     return m_fingerprint;
 }
@@ -63,7 +65,7 @@
 
 std::optional<model::milliseconds> exchange::overload_retry_after() const
 {
-    if (m_facts.prompt.tokens == 0) {
+    if (m_metadata.prompt.tokens == 0) {
         return std::nullopt;
     }
     routing::overload_facts facts;
--- a/src/proxy/exchange_report.hpp
+++ b/src/proxy/exchange_report.hpp
@@ -10,40 +10,42 @@
 
 namespace caperjunction::proxy {
 
-/// How one request ended, for the log and the metrics.
+/// How one request ended. For the log and the metrics.
 struct exchange_report
 {
     std::string_view id;
     std::string_view route;
     std::string_view service;
     std::string_view team;
-    /// The upstream of the last try.
+    /// Upstream of the last attempt.
     std::string_view upstream;
-    /// What the caller was told; 0: nothing.
+    /// Status code sent to the caller; 0 if no answer was sent.
     int status = 0;
-    /// served, refused, failed, cut (the answer broke off) or left (the
-    /// caller did).
+    /// served, refused, failed, cut (the answer broke off) or left (the caller
+    /// disconnected).
     std::string_view outcome;
-    /// The refusal's reason, if there is one.
+    /// Reason of the refusal; empty if the request was not refused.
     std::string_view reason;
-    /// Who ended the caller's connection before its answer was whole, a name
-    /// of `stream_end`; empty if the answer went out or the upstream broke it
-    /// off.
+    /// Who ended the caller's connection before its answer was complete, as a
+    /// name of `connection_end`. Empty if the answer was sent or the upstream
+    /// broke it off.
     std::string_view ended_by;
-    /// Bytes of the answer that this host still held at the end.
+    /// Bytes of the answer that this host had not sent at the end.
     std::size_t unsent_bytes = 0;
-    /// From the signal to stop to the request; negative: there was none.
+    /// Time from the stop signal to the request; negative if there was no
+    /// signal.
     model::milliseconds since_stop{-1};
-    /// How the last try that gave no answer ended; empty if none did.
+    /// Result of the last attempt that gave no answer; empty if every attempt
+    /// gave one.
     std::string_view last_attempt;
-    /// Second sends that this host may still make to the service.
+    /// Retries that this host may still make for the service.
     double budget_left = 0.0;
-    /// Upstreams that were handed it.
+    /// Upstreams that received the request.
     std::uint32_t sent = 0;
     std::uint32_t unreached = 0;
-    /// Upstreams that took no more, by their own word.
+    /// Upstreams that were skipped because they had advertised a request limit.
     std::size_t limited = 0;
-    /// Of the last pick.
+    /// Values of the last pick.
     model::milliseconds forecast{0};
     std::uint32_t cold_tokens = 0;
     std::uint32_t running = 0;
@@ -51,18 +53,19 @@
     routing::upstream_pace pace;
     std::size_t lane = 0;
     std::size_t candidates = 0;
-    /// From arrival; negative: it didn't come to that.
+    /// Time from arrival to the first byte; negative if there was none.
     model::milliseconds first_byte{-1};
-    /// From the last send; negative: none came.
+    /// Time from the last send to the first byte; negative if there was none.
     model::milliseconds upstream_wait{-1};
     model::milliseconds total{0};
     std::uint64_t events = 0;
-    /// Between two events, over all tries.
+    /// Longest time between two events, over all attempts.
     model::milliseconds longest_gap{0};
     std::uint64_t config_version = 0;
-    /// How long ago the store confirmed it.
+    /// Time since the store last confirmed the configuration.
     model::milliseconds config_age{0};
-    /// Served within the route's targets for the first byte and for pauses.
+    /// Whether the request was served within the route's targets for the first
+    /// byte and for gaps between events.
     bool on_time = false;
 };
 
--- a/src/proxy/exchange_send.cpp
+++ b/src/proxy/exchange_send.cpp
@@ -10,12 +10,12 @@
 
 using routing::try_end;
 
-/// A try of a plain request that has been silent for this many latency
-/// targets is tried elsewhere: it is late already, and an upstream that
-/// swallows requests would hold it until the caller gives up.
+/// A non-streaming attempt without an answer after this many latency targets is
+/// retried elsewhere. It is already late, and an upstream that dropped the
+/// request would otherwise hold it until the caller's deadline.
 constexpr int silence_targets = 1;
-/// Streams wait for a place among others; only a multiple of the target
-/// tells silence from a queue.
+/// Streams are queued at the engine; only a multiple of the target
+/// distinguishes silence from queueing.
 constexpr int stream_silence_targets = 2;
 
 } // namespace
@@ -26,14 +26,16 @@
         m_deadline - m_context.loop.now());
 }
 
-// A key may have been taken away since the request came. How old the belief
-// was then decided whether it was admitted; that doesn't change.
+// A key may have been revoked since the request arrived. The age of the
+// configuration is not checked again: it was decided at admission.
 bool exchange::is_still_admitted()
 {
-    auto const admitted = routing::admit(
-        m_context.table.get(),
-        m_context.keys,
-        {m_facts.authority, m_facts.path, m_facts.key, m_arrived_boot});
+    auto const admitted = routing::admit(m_context.table.get(),
+                                         m_context.keys,
+                                         {m_metadata.authority,
+                                          m_metadata.path,
+                                          m_metadata.key,
+                                          m_arrived_boot});
     return !admitted.refused
            || *admitted.refused == routing::refusal_reason::no_route;
 }
@@ -45,11 +47,11 @@
     m_connection = m_context.pool.acquire(m_upstream);
     m_sent_at = m_context.loop.now();
     m_pending_prefill_tokens =
-        m_facts.prompt.tokens
-        - std::min(
-            m_facts.prompt.tokens,
-            m_facts.prompt.shared_tokens()
-                - std::min(m_facts.prompt.shared_tokens(), chosen.cold_tokens));
+        m_metadata.prompt.tokens
+        - std::min(m_metadata.prompt.tokens,
+                   m_metadata.prompt.shared_tokens()
+                       - std::min(m_metadata.prompt.shared_tokens(),
+                                  chosen.cold_tokens));
     m_upstream->limit.record_send(m_sent_at);
     m_upstream->own.running += 1;
     m_upstream->own.urgent += m_is_most_urgent ? 1 : 0;
@@ -72,7 +74,7 @@
     std::string const text =
         request_text(m_head, m_body, m_context.names, added);
     arm_silence_timer(chosen);
-    // The hooks hold the exchange for as long as the connection may call.
+    // The hooks keep the exchange alive while the connection may call them.
     auto const self = shared_from_this();
     m_connection->send(text,
                        is_head_request(),
@@ -139,8 +141,8 @@
     }
 }
 
-// An engine that answers others is busy, not lost: a second send would only
-// add to its queue and to another's.
+// An engine that answers other requests is busy, not lost. A retry would only
+// lengthen its queue and that of another engine.
 bool exchange::is_upstream_silent() const
 {
     return m_route->kind != routing::request_kind::stream
@@ -161,7 +163,7 @@
     if (!routing::may_try_again(*m_route, result, m_state)) {
         return false;
     }
-    // An upstream that got nothing is no second send.
+    // An attempt that reached no upstream does not count as a retry.
     return m_state.sent == 0 || m_context.allowance(m_service).try_take();
 }
 
@@ -177,8 +179,8 @@
     }
     m_state.has_begun = m_has_begun;
     m_report.last_attempt = routing::to_string(result);
-    // A busy host reads late that a caller has left, and would send on what
-    // nobody waits for.
+    // A busy host may not yet have read that the caller has disconnected, and
+    // would retry a request whose answer is no longer needed.
     if (!m_sink.is_connected()) {
         return;
     }
--- a/src/proxy/http_get.hpp
+++ b/src/proxy/http_get.hpp
@@ -14,33 +14,33 @@
 
 namespace caperjunction::proxy {
 
-/// What to ask for, and for how long.
+/// A GET request and its timeouts.
 struct get_request
 {
     model::endpoint at;
     std::string target;
-    /// The connection isn't wanted for another request.
+    /// Whether to close the connection after the answer.
     bool close_after = false;
     model::milliseconds connect_timeout{300};
-    /// Until the answer's first byte.
+    /// Time until the answer's first byte.
     model::milliseconds first_byte_timeout{700};
-    /// Between two bytes. Nothing limits the whole: an answer that is dropped
-    /// while it comes is asked for again from its first byte, and over a full
-    /// link never arrives.
+    /// Time between two reads. The total time is not limited: an answer that is
+    /// dropped midway is requested again from its first byte, and over a
+    /// saturated link it would never arrive.
     model::milliseconds idle_timeout{700};
 };
 
-/// How far an answer has come.
+/// Progress of an answer.
 struct get_progress
 {
     std::size_t bytes = 0;
-    /// Since the request.
+    /// Time since the request.
     model::milliseconds total{0};
-    /// Since the last byte; since the request if none came.
+    /// Time since the last byte, or since the request if no byte was received.
     model::milliseconds idle{0};
 };
 
-/// Asks for one document at a time, and collects it.
+/// HTTP client that fetches one document at a time and buffers its body.
 ///
 /// Thread safety: none; owned by the loop's task.
 class http_get
@@ -49,7 +49,8 @@
     struct hooks
     {
         std::function<void(int status, std::string const& body)> on_answer;
-        /// There is no whole answer; `why`: silent, unreachable or broken.
+        /// Called if there is no complete answer. `reason`: silent, unreachable
+        /// or broken.
         std::function<void(std::string_view reason)> on_failed;
     };
 
@@ -58,11 +59,11 @@
     http_get(http_get const&) = delete;
     http_get& operator=(http_get const&) = delete;
 
-    /// Begins to ask; what was asked before is given up without a word. Hooks
-    /// may ask again.
+    /// Sends a request. A request in progress is cancelled without a callback.
+    /// Callbacks may start another request.
     void start(get_request const& request, hooks callbacks);
 
-    /// Gives up what was asked, and the connection.
+    /// Cancels the request in progress and closes the connection.
     void stop();
 
     bool is_active() const
@@ -70,7 +71,7 @@
         return m_is_active;
     }
 
-    /// Of the last answer, whole or not.
+    /// Progress of the current or last answer, complete or not.
     get_progress progress() const;
 
 private:
--- a/src/proxy/http_reader.cpp
+++ b/src/proxy/http_reader.cpp
@@ -133,20 +133,20 @@
     if (m_fault != read_fault::none) {
         return 0;
     }
-    std::size_t const taken = http_parser_execute(
+    std::size_t const consumed = http_parser_execute(
         &m_parser, &parser_callbacks(), bytes.data(), bytes.size());
     http_errno const code = HTTP_PARSER_ERRNO(&m_parser);
     if (code == HPE_PAUSED) {
         http_parser_pause(&m_parser, 0);
         m_hooks.on_end();
-        return taken;
+        return consumed;
     }
     if (code != HPE_OK || m_parser.upgrade != 0) {
         if (m_fault == read_fault::none) {
             m_fault = read_fault::malformed;
         }
     }
-    return taken;
+    return consumed;
 }
 
 bool http_reader::feed_end()
--- a/src/proxy/http_reader.hpp
+++ b/src/proxy/http_reader.hpp
@@ -13,22 +13,22 @@
 
 namespace caperjunction::proxy {
 
-/// Why a reader takes no more bytes.
+/// Why a reader stopped parsing.
 enum class read_fault : std::uint8_t
 {
     none,
-    /// The bytes are no HTTP, or its lengths contradict each other.
+    /// The bytes are not valid HTTP, or their lengths contradict each other.
     malformed,
     head_too_long,
 };
 
-/// Cuts a connection's bytes into HTTP messages, for both directions.
+/// Parses the bytes of a connection into HTTP messages, requests or responses.
 ///
-/// The parser refuses what could be read in two ways (two lengths, a length
-/// beside chunks): a request hidden in another one's body would run under an
-/// id that no caller sent.
+/// The parser rejects ambiguous framing (two lengths, or a length with chunked
+/// encoding). Otherwise a request smuggled in another one's body would run
+/// under an id that no caller sent.
 ///
-/// Thread safety: none; one for each connection.
+/// Thread safety: none; one instance per connection.
 class http_reader
 {
 public:
@@ -36,11 +36,12 @@
     {
         std::function<void(message_head&&)> on_head;
         std::function<void(std::string_view)> on_body;
-        /// The message is whole; no byte after it has been read.
+        /// The message is complete; no byte after it has been parsed.
         std::function<void()> on_end;
     };
 
-    /// Longest head that is read, in bytes, whatever the settings say.
+    /// Upper limit for the size of a head in bytes, independent of the
+    /// settings.
     static constexpr std::size_t max_head = 65'536;
 
     http_reader(http_parser_type side, hooks callbacks);
@@ -52,14 +53,16 @@
         m_max_head = bytes;
     }
 
-    /// Takes bytes up to the end of one message; gives how many.
+    /// Parses bytes up to the end of one message. Returns the number consumed.
     std::size_t feed(std::string_view bytes);
 
-    /// The connection ended without a fault. True if that ended a message
-    /// whose length only the connection's end tells.
+    /// Called when the connection ended without an error. Returns whether that
+    /// completed a message whose length is delimited by the end of the
+    /// connection.
     bool feed_end();
 
-    /// The next answer has no body, whatever its head says.
+    /// The next answer has no body, regardless of its headers, if
+    /// `is_head_request` is set.
     void expect_no_body(bool is_head_request)
     {
         m_no_body = is_head_request;
@@ -70,7 +73,7 @@
         return m_fault;
     }
 
-    /// Between two messages: nothing of the next has been read.
+    /// Whether no byte of the next message has been parsed.
     bool is_between_messages() const
     {
         return m_is_between;
--- a/src/proxy/limit_notices.cpp
+++ b/src/proxy/limit_notices.cpp
@@ -7,8 +7,8 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// The others hear of an answer within a second; told for much longer, since
-/// hosts come and go.
+/// Other hosts receive a limit within a second. It is advertised for much
+/// longer because hosts come and go.
 constexpr model::milliseconds advertised_for{60'000};
 constexpr std::size_t max_advertised = 64;
 constexpr int misdirected = 421;
@@ -36,7 +36,7 @@
     auto const end = text.data() + text.size();
     auto const read = std::from_chars(text.data(), end, value);
     bool const is_number = read.ec == std::errc() && read.ptr == end;
-    // Too large for a double is as good as no limit.
+    // A value that is too large for a double is equivalent to no limit.
     if (read.ec == std::errc::result_out_of_range && read.ptr == end) {
         return std::numeric_limits<double>::max();
     }
@@ -52,23 +52,24 @@
     if (answer.status == misdirected) {
         return;
     }
-    std::string const* const line = answer.find(context.names.request_limit);
-    std::optional<double> a_second;
-    if (line != nullptr) {
-        a_second = parse_request_limit(*line);
-        if (!a_second) {
-            // What held before holds on: it is in need, and how much is
-            // unknown.
+    std::string const* const value = answer.find(context.names.request_limit);
+    std::optional<double> requests_per_second;
+    if (value != nullptr) {
+        requests_per_second = parse_request_limit(*value);
+        if (!requests_per_second) {
+            // The previous limit stays in force: the upstream is overloaded,
+            // and its new limit is unknown.
             if (context.on_limit_unreadable) {
-                context.on_limit_unreadable(from, *line);
+                context.on_limit_unreadable(from, *value);
             }
             return;
         }
     }
     bool const has_run = answer.find(context.names.seal) != nullptr;
-    bool const has_ended = !a_second && has_run && from.limit.is_limited();
-    if (a_second || has_ended) {
-        from.own_limit = {a_second, context.loop.now()};
+    bool const has_ended =
+        !requests_per_second && has_run && from.limit.is_limited();
+    if (requests_per_second || has_ended) {
+        from.own_limit = {requests_per_second, context.loop.now()};
         apply(context, from, from.own_limit);
     }
 }
@@ -76,10 +77,10 @@
 void apply_advertised_limits(relay_context& context)
 {
     context.directory.each([&context](routing::upstream_state& state) {
-        auto const told =
+        auto const advertised =
             context.peers.limit_of(routing::upstream_load_key(state.about.id));
-        if (told || state.limit.is_limited()) {
-            apply(context, state, told.value_or(routing::limit_notice{}));
+        if (advertised || state.limit.is_limited()) {
+            apply(context, state, advertised.value_or(routing::limit_notice{}));
         }
     });
 }
--- a/src/proxy/limit_notices.hpp
+++ b/src/proxy/limit_notices.hpp
@@ -10,20 +10,22 @@
 
 namespace caperjunction::proxy {
 
-/// Requests a second that a header names; nothing if it is no decimal number of
-/// zero or more.
+/// Parses the requests per second in a header. Returns std::nullopt unless the
+/// text is a decimal number of zero or more.
 std::optional<double> parse_request_limit(std::string_view text);
 
-/// Learns from an answer that `from` gave to this host how many requests it
-/// takes. Only an answer that it has worked for tells that a limit is over.
+/// Updates the request limit of `from` from one of its answers to this host.
+/// Only an answer to a request that `from` has run can end a limit.
 void record_limit(relay_context& context,
                   routing::upstream_state& from,
                   message_head const& answer);
 
-/// Learns what other hosts have told, and how this host shares limits now.
+/// Applies the limits that other hosts advertise, and this host's current share
+/// of each limit.
 void apply_advertised_limits(relay_context& context);
 
-/// What this host's own answers have said, for the others.
+/// Returns the limits that this host received from upstreams itself, to
+/// advertise to other hosts.
 std::vector<routing::told_limit>
 limits_to_advertise(relay_context const& context);
 
--- a/src/proxy/list_codec.hpp
+++ b/src/proxy/list_codec.hpp
@@ -11,38 +11,40 @@
 
 namespace caperjunction::proxy {
 
-/// The newest configuration that a host has, on its way to another.
+/// The newest configuration of a host, as sent to another host.
 struct packed_configuration
 {
     std::string key;
     std::uint64_t revision = 0;
-    /// Up to this revision the store had no newer one.
+    /// Store revision up to which no newer configuration existed.
     std::uint64_t checked = 0;
-    /// Revision of the configuration that `packed` was packed against; 0: none.
+    /// Revision of the configuration against which `packed` was compressed; 0
+    /// if none.
     std::uint64_t base = 0;
-    /// As `pack_text` gives it.
+    /// Result of `pack_text`.
     std::string packed;
 };
 
 std::string encode_configuration(packed_configuration const& from);
 
-/// Nothing if the bytes are no configuration.
+/// Returns std::nullopt if the bytes are not a valid configuration.
 std::optional<packed_configuration>
 decode_configuration(std::string_view bytes);
 
-/// What a host has read of the store.
+/// Items that a host has read from the store.
 struct item_list
 {
     std::vector<store_item> items;
-    /// The newest change among them.
+    /// Revision of the newest change among the items.
     std::uint64_t revision = 0;
-    /// 0: all items; else those that changed after it, removed ones too.
+    /// 0 for all items; otherwise the items that changed after this revision,
+    /// including removed ones.
     std::uint64_t since = 0;
 };
 
 std::string encode_items(item_list const& list);
 
-/// Nothing if the bytes are no list.
+/// Returns std::nullopt if the bytes are not a valid list.
 std::optional<item_list> decode_items(std::string_view bytes);
 
 } // namespace caperjunction::proxy
--- a/src/proxy/message_head.hpp
+++ b/src/proxy/message_head.hpp
@@ -9,20 +9,20 @@
 
 namespace caperjunction::proxy {
 
-/// One header line; the name as it was sent.
+/// One header line, with the name in its original case.
 struct header_line
 {
     std::string name;
     std::string value;
 };
 
-/// Everything of an HTTP message before its body.
+/// Start line and headers of an HTTP message.
 struct message_head
 {
-    /// Requests only.
+    /// Set for requests only.
     std::string method;
     std::string target;
-    /// Answers only.
+    /// Set for answers only.
     int status = 0;
     std::string reason;
     /// 0 for HTTP/1.0.
@@ -30,20 +30,22 @@
     std::vector<header_line> headers;
     std::optional<std::uint64_t> length;
     bool chunked = false;
-    /// The sender keeps the connection open.
+    /// Whether the sender keeps the connection open.
     bool keep_alive = true;
 
-    /// The first value of a header, in any case of letters; null if absent.
+    /// Returns the first value of a header, matched case-insensitively; null if
+    /// absent.
     std::string const* find(std::string_view name) const;
 };
 
-/// Compares as header names are compared.
+/// Compares header names case-insensitively.
 bool header_names_equal(std::string_view a, std::string_view b);
 
-/// Headers that concern one connection and not the message.
+/// Whether a header applies to one connection only and is not forwarded.
 bool is_hop_by_hop(std::string_view name);
 
-/// `text` as a whole decimal number; nothing if it is anything else.
+/// Parses `text` as an unsigned decimal integer. Returns std::nullopt if it is
+/// anything else.
 std::optional<std::uint64_t> parse_number(std::string_view text);
 
 } // namespace caperjunction::proxy
--- a/src/proxy/message_text.cpp
+++ b/src/proxy/message_text.cpp
@@ -18,7 +18,7 @@
     text.append("\r\n");
 }
 
-/// Headers that a caller sends and no upstream gets as they are.
+/// Whether a header of the caller is not forwarded to upstreams unchanged.
 bool is_withheld(std::string_view name, wire_names const& names)
 {
     bool const is_own = std::any_of(
--- a/src/proxy/peer_gossip.cpp
+++ b/src/proxy/peer_gossip.cpp
@@ -18,11 +18,11 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// How often a small fleet's hosts tell each other: a prompt is read in some
-/// 100 ms, and loads that are older mislead.
+/// Interval between digests in a small fleet. A prefill takes some 100 ms, and
+/// older loads lead to bad placements.
 constexpr model::milliseconds min_period{100};
-/// A host hears at most about this many datagrams a second with loads, some
-/// thousandths of a core.
+/// Approximate maximum of datagrams with loads that a host receives per second;
+/// they cost some thousandths of a core.
 constexpr double max_datagrams_per_second = 60.0;
 
 constexpr std::size_t max_datagram = 65'536;
@@ -54,8 +54,9 @@
                != 0) {
         throw model::error(
             model::error_kind::bad_settings,
-            fmt::format(
-                "cannot hear peers on {}:{}", listen.address, listen.port),
+            fmt::format("cannot receive from peers on {}:{}",
+                        listen.address,
+                        listen.port),
             "free that port or choose another with --peer_listen");
     }
     m_read = event_new(
@@ -116,7 +117,7 @@
 
 void peer_gossip::broadcast_change()
 {
-    // Hosts that all watch for themselves need no word of it.
+    // If all hosts watch the store themselves, they need no notification.
     if (m_context.peers.alive() < routing::peer_table::least_to_share) {
         return;
     }
@@ -134,29 +135,29 @@
     auto const now = m_context.loop.now();
     peers.forget_silent(now);
     digest_frame const frame = own_frame();
-    bool const is_news = m_load_changes.is_news(frame.digest.loads, now);
-    auto const audience = peers.audience(now, m_context.known, is_news);
-    if (is_news) {
+    bool const has_change = m_load_changes.is_news(frame.digest.loads, now);
+    auto const recipients = peers.audience(now, m_context.known, has_change);
+    if (has_change) {
         m_load_changes.told(frame.digest.loads, now);
     }
-    send_to_all(audience, frame);
+    send_to_all(recipients, frame);
     apply_loads();
-    model::milliseconds const by_size{
+    model::milliseconds const load_period{
         static_cast<std::int64_t>(1'000.0 * static_cast<double>(peers.nearby())
                                   / max_datagrams_per_second)};
-    m_timer = m_context.loop.after(std::max(min_period, by_size), [this] {
+    m_timer = m_context.loop.after(std::max(min_period, load_period), [this] {
         send_digests();
     });
 }
 
 void peer_gossip::send_to_all(
-    std::vector<routing::peer_table::listener> const& audience,
+    std::vector<routing::peer_table::listener> const& recipients,
     digest_frame frame)
 {
-    routing::fleet_news const news =
+    routing::fleet_news const digests =
         m_context.peers.news(std::move(frame.digest));
-    for (auto const& to : audience) {
-        frame.digest = news.of(to.what);
+    for (auto const& to : recipients) {
+        frame.digest = digests.of(to.what);
         frame.digest.asks = to.asks;
         if (to.wants_names) {
             frame.digest.neighbours = m_context.peers.neighbours_for(
@@ -168,15 +169,16 @@
 
 void peer_gossip::send_to(model::endpoint const& to, digest_frame& frame)
 {
-    auto const heard = m_echoes.find(fmt::format("{}:{}", to.address, to.port));
-    if (heard != m_echoes.end()) {
-        frame.echoed = heard->second.stamp;
+    auto const last_echo =
+        m_echoes.find(fmt::format("{}:{}", to.address, to.port));
+    if (last_echo != m_echoes.end()) {
+        frame.echoed = last_echo->second.stamp;
         frame.echo_held = std::chrono::duration_cast<std::chrono::microseconds>(
-            frame.stamp - heard->second.received_at);
+            frame.stamp - last_echo->second.received_at);
     }
     std::string const bytes = encode_digest(frame);
     sockaddr_in const address = to_socket(to);
-    // What doesn't go out is made good by the next.
+    // A digest that could not be sent is compensated by the next one.
     sendto(m_socket,
            bytes.data(),
            bytes.size(),
@@ -191,18 +193,19 @@
     for (;;) {
         sockaddr_in from{};
         socklen_t size = sizeof from;
-        ssize_t const got = recvfrom(m_socket,
-                                     s_bytes.data(),
-                                     s_bytes.size(),
-                                     0,
-                                     reinterpret_cast<sockaddr*>(&from),
-                                     &size);
-        if (got < 0) {
+        ssize_t const size_received =
+            recvfrom(m_socket,
+                     s_bytes.data(),
+                     s_bytes.size(),
+                     0,
+                     reinterpret_cast<sockaddr*>(&from),
+                     &size);
+        if (size_received < 0) {
             return;
         }
         char text[INET_ADDRSTRLEN] = "";
         inet_ntop(AF_INET, &from.sin_addr, text, sizeof text);
-        handle_digest({s_bytes.data(), static_cast<std::size_t>(got)},
+        handle_digest({s_bytes.data(), static_cast<std::size_t>(size_received)},
                       {text, ntohs(from.sin_port)});
     }
 }
@@ -217,33 +220,34 @@
     auto const now = m_context.boot_now();
     m_echoes[fmt::format("{}:{}", from.address, from.port)] = {frame->stamp,
                                                                now};
-    // The sender had our stamp for `echo_held` when it said how old its
-    // belief was: that moment is no earlier than the stamp and that time.
+    // The sender had held our stamp for `echo_held` when it stated the age of
+    // its confirmation. That moment is therefore no earlier than the stamp plus
+    // `echo_held`.
     if (frame->echoed && frame->confirmed_age && *frame->echoed <= now) {
         frame->digest.confirmed =
             *frame->echoed + frame->echo_held - *frame->confirmed_age;
     }
     apply_confirmation(frame->digest, now);
     m_context.peers.hear(from, frame->digest, m_context.loop.now());
-    routing::store_revisions const& told = frame->digest.known;
+    routing::store_revisions const& received = frame->digest.known;
     bool const knows_more =
-        told.upstreams > m_context.known.upstreams
-        || told.configuration > m_context.known.configuration;
+        received.upstreams > m_context.known.upstreams
+        || received.configuration > m_context.known.configuration;
     if (m_on_newer_revision && knows_more) {
         m_on_newer_revision();
     }
 }
 
-void peer_gossip::apply_confirmation(routing::peer_digest const& told,
+void peer_gossip::apply_confirmation(routing::peer_digest const& received,
                                      model::time_point now)
 {
     routing::store_revisions& known = m_context.known;
-    if (!known.covers_configuration(told.known)) {
+    if (!known.covers_configuration(received.known)) {
         return;
     }
-    known.checked = std::max(known.checked, told.known.checked);
-    if (told.confirmed) {
-        m_context.keys.confirm(std::min(*told.confirmed, now));
+    known.checked = std::max(known.checked, received.known.checked);
+    if (received.confirmed) {
+        m_context.keys.confirm(std::min(*received.confirmed, now));
     }
 }
 
@@ -251,10 +255,10 @@
 {
     m_context.peers.add_up();
     m_context.directory.each([this](routing::upstream_state& state) {
-        auto const told =
+        auto const received =
             m_context.peers.load_of(routing::upstream_load_key(state.about.id));
-        state.others = told.load;
-        state.others_pace = told.pace;
+        state.others = received.load;
+        state.others_pace = received.pace;
     });
     apply_advertised_limits(m_context);
     if (m_alive != m_context.peers.alive()) {
--- a/src/proxy/peer_gossip.hpp
+++ b/src/proxy/peer_gossip.hpp
@@ -18,33 +18,34 @@
 
 namespace caperjunction::proxy {
 
-/// Exchanges digests with the other hosts, by datagrams: one that is lost is
-/// made good by the next, and a host that hangs holds up nobody.
+/// Exchanges digests with other hosts over UDP. A lost datagram is compensated
+/// by the next one, and a host that hangs blocks no other host.
 ///
 /// Thread safety: none; owned by the loop's task.
 class peer_gossip
 {
 public:
-    /// \throws model::error (bad_settings) if the address is not to be had.
+    /// \throws model::error (bad_settings) if the address is not available.
     peer_gossip(relay_context& context, model::endpoint const& listen);
     ~peer_gossip();
     peer_gossip(peer_gossip const&) = delete;
     peer_gossip& operator=(peer_gossip const&) = delete;
 
-    /// Called when a host is heard first, or again, and when it falls silent.
+    /// Called when the number of live peers has changed: a host appeared,
+    /// returned or went silent.
     void on_peers_changed(std::function<void(std::size_t alive)> callback)
     {
         m_on_changed = std::move(callback);
     }
 
-    /// Called when a host is heard that has changes which this one lacks.
+    /// Called when a host reports changes that this host lacks.
     void on_newer_revision(std::function<void()> callback)
     {
         m_on_newer_revision = std::move(callback);
     }
 
-    /// Tells some others at the end of this turn of a change that they wait
-    /// for.
+    /// Sends a digest at the end of this loop iteration to the hosts that wait
+    /// for this change.
     void broadcast_change();
 
 private:
@@ -60,7 +61,7 @@
     void send_to(model::endpoint const& to, digest_frame& frame);
     void receive();
     void handle_digest(std::string_view bytes, model::endpoint const& from);
-    void apply_confirmation(routing::peer_digest const& told,
+    void apply_confirmation(routing::peer_digest const& received,
                             model::time_point now);
     void apply_loads();
     digest_frame own_frame();
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -14,22 +14,23 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// Callers that may wait to be accepted: when the queue is full, the opening
-/// packet of the next is dropped and sent again after a second.
+/// Connections that may wait to be accepted. When the queue is full, the SYN of
+/// the next connection is dropped and retransmitted after a second.
 constexpr int backlog = 1'024;
 
-/// How exactly idle and slow connections are ended.
+/// Interval, and thereby precision, with which idle and slow connections are
+/// closed.
 constexpr model::milliseconds sweep_period{250};
 
-/// A loop that comes to its timers so much later than asked lacks processor
-/// time.
+/// A loop whose timers run this late lacks processor time.
 constexpr model::milliseconds min_reported_lateness{250};
 
-/// Part of the last moment in which final answers are sent.
+/// Time before the end of the process in which final answers are sent.
 constexpr model::milliseconds final_answer_time{100};
 
-/// Within this time a caller sends the first request on a new connection, or
-/// the next one on a kept one. A stopping host waits for it before it closes.
+/// Time within which a caller sends the first request on a new connection, or
+/// the next one on a kept connection. A stopping host waits this long before it
+/// closes an idle connection.
 constexpr model::milliseconds min_idle_before_close{500};
 
 } // namespace
@@ -80,7 +81,8 @@
     m_context.loop.cancel(m_sweep);
     m_context.loop.cancel(m_stop_limit);
     evconnlistener_free(m_listener);
-    // A connection keeps its caller alive until one of them lets go.
+    // A connection and its caller keep each other alive until one of them is
+    // closed.
     auto const callers = std::move(m_callers);
     for (auto const& [key, item] : callers) {
         item->abort();
@@ -149,7 +151,7 @@
 
 void relay::check_stop()
 {
-    // The limit may have been shortened since the signal.
+    // The limit may have been lowered since the signal.
     if (m_context.since_stop()
             > m_context.settings.stop_limit - routing::last_moment
         && !m_is_ending) {
--- a/src/proxy/relay.hpp
+++ b/src/proxy/relay.hpp
@@ -14,19 +14,19 @@
 
 namespace caperjunction::proxy {
 
-/// Listens for callers and sees to times and to the planned stop.
+/// Listens for callers, enforces time limits and performs the planned stop.
 ///
-/// A planned stop cuts off nothing that can be finished: the balancer is told
-/// first and still sends callers for seconds, so these are served; answers
-/// then close their connections; what is idle is closed; the process ends when
-/// nothing is on its way. What is not answered by the stop's limit gets a final
-/// answer shortly before it.
+/// A planned stop drops no request that can be completed. The load balancer is
+/// informed first but keeps sending callers for some seconds, so these are
+/// served. Answers then close their connections, and idle connections are
+/// closed. The process ends when no request is left. Requests that are
+/// unanswered shortly before the stop's limit get a final answer then.
 ///
 /// Thread safety: none; owned by the loop's task.
 class relay
 {
 public:
-    /// \throws model::error (bad_settings) if the address is not to be had.
+    /// \throws model::error (bad_settings) if the address is not available.
     explicit relay(relay_context& context);
     ~relay();
     relay(relay const&) = delete;
@@ -37,8 +37,9 @@
         return m_port;
     }
 
-    /// Begins the planned stop, whose signal was delivered at `signalled`;
-    /// `on_stopped` is called when nothing is left or the limit is near.
+    /// Begins the planned stop. `signalled` is the time at which the signal was
+    /// delivered. `on_stopped` is called when no connection is left or the
+    /// limit is near.
     ///
     /// \pre `signalled` is not later than now.
     void plan_stop(model::time_point signalled,
@@ -54,7 +55,7 @@
         return m_callers.size();
     }
 
-    /// Serves a connection that has been accepted; takes over the socket.
+    /// Serves an accepted connection. Takes ownership of the socket.
     void serve(int socket);
 
 private:
@@ -71,7 +72,7 @@
     std::map<caller const*, std::shared_ptr<caller>> m_callers;
     runtime::timer_handle m_sweep;
     runtime::timer_handle m_stop_limit;
-    /// The limit of the stop is near; final answers have been given.
+    /// Whether the stop's limit is near and final answers have been sent.
     bool m_is_ending = false;
     model::time_point m_swept_at;
 
--- a/src/proxy/relay_context.hpp
+++ b/src/proxy/relay_context.hpp
@@ -24,7 +24,7 @@
 
 namespace caperjunction::proxy {
 
-/// What all requests of a host share.
+/// State shared by all requests of a host.
 ///
 /// Thread safety: none; owned by the loop's task.
 struct relay_context
@@ -32,10 +32,10 @@
     runtime::event_loop& loop;
     wire_names const& names;
     relay_settings settings;
-    /// A clock that counts the time that the host was suspended.
+    /// Clock that includes the time during which the host was suspended.
     std::function<model::time_point()> boot_now;
     routing::freshness keys;
-    /// Null until a configuration is known.
+    /// Null until a configuration has been received.
     std::shared_ptr<routing::route_table const> table;
     routing::store_revisions known;
     routing::upstream_directory directory;
@@ -44,26 +44,26 @@
     routing::peer_table peers;
     routing::crash_suspects suspects;
     std::map<std::string, routing::retry_allowance> allowances;
-    /// Most urgent streams that this host runs, by service.
+    /// Running streams of the most urgent rank on this host, by service.
     std::map<std::string, std::uint32_t> urgent_streams;
-    /// Called when a request is tried again, before the next try.
+    /// Called when a request is retried, before the next attempt.
     std::function<void(exchange_report const&)> on_retried;
-    /// Called when an upstream's limit begins or ends.
+    /// Called when an upstream's request limit begins or ends.
     std::function<void(routing::upstream_state const&)> on_limit_changed;
-    /// Called when an upstream names a limit that can't be read.
+    /// Called when an upstream sends a request limit that can't be parsed.
     std::function<void(routing::upstream_state const&, std::string const&)>
         on_limit_unreadable;
-    /// Called once for each request that ended.
+    /// Called once for each request when it has ended.
     std::function<void(exchange_report const&)> on_ended;
-    /// Called once for each caller's connection that ended.
+    /// Called once for each caller's connection when it has ended.
     std::function<void(connection_report const&)> on_connection_ended;
-    /// Called when the loop came to its sweep later than it should have, by
-    /// so much: it lacks processor time.
+    /// Called with the delay when the loop runs its sweep later than scheduled.
+    /// It then lacks processor time.
     std::function<void(model::milliseconds)> on_loop_late;
 
-    /// Set from the signal to stop: answers close their connections.
+    /// Set from the stop signal on; answers then close their connections.
     bool is_stopping = false;
-    /// Bytes of request bodies that are held.
+    /// Bytes of request bodies that are buffered.
     std::size_t buffered_bytes = 0;
     model::time_point stop_started_at{};
 
@@ -84,7 +84,7 @@
     {
     }
 
-    /// Since the signal to stop; negative: there was none.
+    /// Returns the time since the stop signal; negative if there was none.
     model::milliseconds since_stop() const
     {
         return is_stopping ? std::chrono::duration_cast<model::milliseconds>(
@@ -92,15 +92,17 @@
                            : model::milliseconds{-1};
     }
 
-    /// Whether a request that may take `longest` is taken now.
-    bool accepts_new_request(model::milliseconds longest) const
+    /// Returns whether a request that may take up to `max_duration` is accepted
+    /// now.
+    bool accepts_new_request(model::milliseconds max_duration) const
     {
         return !is_stopping
                || routing::takes_new(
-                   since_stop(), settings.stop_limit, longest);
+                   since_stop(), settings.stop_limit, max_duration);
     }
 
-    /// Most urgent streams of `service` that run, from all hosts.
+    /// Returns the running streams of the most urgent rank of `service`, over
+    /// all hosts.
     std::uint32_t fleet_urgent_streams(std::string const& service) const
     {
         auto const own = urgent_streams.find(service);
@@ -108,9 +110,10 @@
                + peers.load_of(routing::urgent_load_key(service)).load.running;
     }
 
-    /// What this host may spend of the fleet's extra budget at once. Hosts
-    /// that are cut off go on sending: the largest fleet ever seen counts,
-    /// and a host that has heard nobody yet assumes a large one.
+    /// Returns this host's share of the fleet's burst of retries. Hosts that
+    /// are partitioned from each other keep sending, so the share is computed
+    /// from the largest fleet ever seen. A host that has received no digest yet
+    /// assumes 27 hosts.
     double retry_burst() const
     {
         constexpr double assumed_hosts = 27.0;
@@ -121,15 +124,15 @@
         return std::max(1.0, settings.retry_extra * spent_at_once / hosts);
     }
 
-    /// The budget of second sends to `service`.
+    /// Returns the retry budget for `service`.
     routing::retry_allowance& allowance(std::string const& service)
     {
         double const burst = retry_burst();
-        auto& found =
+        auto& budget =
             allowances.try_emplace(service, settings.retry_ratio, burst)
                 .first->second;
-        found.burst(burst);
-        return found;
+        budget.burst(burst);
+        return budget;
     }
 };
 
--- a/src/proxy/relay_settings.hpp
+++ b/src/proxy/relay_settings.hpp
@@ -10,31 +10,33 @@
 
 namespace caperjunction::proxy {
 
-/// What one host's relay works with.
+/// Settings of the relay of one host.
 struct relay_settings
 {
     model::endpoint listen;
-    /// Where the other hosts reach this one; port 0: peers are not spoken to.
+    /// Address for digests from other hosts; port 0 disables the exchange with
+    /// peers.
     model::endpoint peer_listen;
     /// Hash of the name of this host's data centre.
     std::uint64_t data_centre = 0;
-    /// Hosts that know of others.
+    /// Hosts that are contacted first to discover others.
     std::vector<model::endpoint> seeds;
-    /// How long keys may be acted on without the store confirming them.
+    /// How long keys stay valid without confirmation by the store.
     model::milliseconds key_lifetime{5'000};
-    /// Within it a published change has to be in force.
+    /// Time within which a published change must be in force.
     model::milliseconds apply_limit{2'500};
-    /// Second sends that a request pays for, fleet-wide.
+    /// Retries that each request adds to the budget, over the whole fleet.
     double retry_ratio = 0.2;
-    /// Second sends that the fleet may make at once beyond that.
+    /// Burst of retries that the fleet may make beyond that ratio.
     double retry_extra = 50.0;
-    /// Time from the signal to stop until the process is ended.
+    /// Time from the stop signal until the process is killed.
     model::milliseconds stop_limit{8'000};
-    /// Longest time until a connection to an upstream stands: many round
-    /// trips between regions, and short against what callers wait.
+    /// Timeout for connecting to an upstream. It covers many round trips
+    /// between regions and is short compared with callers' deadlines.
     model::milliseconds connect_timeout{250};
-    /// Bytes of request bodies held at once: half of the smallest host's
-    /// memory. Beyond it the process would be ended and all callers with it.
+    /// Maximum bytes of buffered request bodies: half of the smallest host's
+    /// memory. Without the limit the process is killed for lack of memory, and
+    /// all callers lose their connections.
     std::size_t max_buffered_bytes = 40'000'000;
 };
 
--- a/src/proxy/request_facts.cpp
+++ b/src/proxy/request_metadata.cpp
@@ -1,4 +1,4 @@
-#include "proxy/request_facts.hpp"
+#include "proxy/request_metadata.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -17,13 +17,13 @@
     return text;
 }
 
-/// Takes the text up to the next `separator` off the front of `text`.
+/// Removes the text up to the next `separator` from the front of `text`.
 std::string_view pop_until(std::string_view& text, char separator)
 {
     std::size_t const at = text.find(separator);
-    std::string_view const taken = text.substr(0, at);
+    std::string_view const token = text.substr(0, at);
     text.remove_prefix(at == std::string_view::npos ? text.size() : at + 1);
-    return trimmed(taken);
+    return trimmed(token);
 }
 
 std::uint32_t tokens_of(std::string_view text)
@@ -60,31 +60,34 @@
 
 } // namespace
 
-request_facts read_facts(message_head const& head, wire_names const& names)
+request_metadata read_metadata(message_head const& head,
+                               wire_names const& names)
 {
-    request_facts facts;
-    facts.path = std::string_view(head.target).substr(0, head.target.find('?'));
+    request_metadata metadata;
+    metadata.path =
+        std::string_view(head.target).substr(0, head.target.find('?'));
     for (header_line const& line : head.headers) {
         if (header_names_equal(line.name, names.request_id)) {
-            facts.id = line.value;
+            metadata.id = line.value;
         } else if (header_names_equal(line.name, "Host")) {
-            facts.authority = line.value;
+            metadata.authority = line.value;
         } else if (header_names_equal(line.name, "Authorization")) {
-            facts.key = read_key(line.value, names.key_scheme);
+            metadata.key = read_key(line.value, names.key_scheme);
         } else if (header_names_equal(line.name, names.deadline_ms)) {
             if (auto const value = parse_number(line.value)) {
                 constexpr std::uint64_t day_ms = 86'400'000;
-                facts.deadline = model::milliseconds(std::min(*value, day_ms));
+                metadata.deadline =
+                    model::milliseconds(std::min(*value, day_ms));
             }
         } else if (header_names_equal(line.name, names.prompt_parts)) {
-            facts.prompt.parts = read_parts(line.value);
+            metadata.prompt.parts = read_parts(line.value);
         } else if (header_names_equal(line.name, names.token_counts)) {
-            std::string_view rest = line.value;
-            facts.prompt.tokens = tokens_of(pop_until(rest, ','));
-            facts.prompt.max_output = tokens_of(trimmed(rest));
+            std::string_view remaining = line.value;
+            metadata.prompt.tokens = tokens_of(pop_until(remaining, ','));
+            metadata.prompt.max_output = tokens_of(trimmed(remaining));
         }
     }
-    return facts;
+    return metadata;
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/socket_options.cpp
+++ b/src/proxy/socket_options.cpp
@@ -9,9 +9,10 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// How long sent bytes may stay unacknowledged. A host that lost power never
-/// answers, and without the limit its connection hangs for minutes; a round
-/// trip takes some 20 ms, and a lost packet is sent again after some 200.
+/// Time for which sent bytes may stay unacknowledged. A host that lost power
+/// never answers, and without the limit its connection hangs for minutes. A
+/// round trip takes some 20 ms, and a lost packet is retransmitted after some
+/// 200 ms.
 constexpr int unacknowledged_ms = 1'500;
 
 void set_option(int socket, int level, int name, int value)
@@ -23,7 +24,8 @@
 
 void set_no_delay(int socket)
 {
-    // Small writes must not wait for an acknowledgement, some 40 ms.
+    // Small writes must not wait for an acknowledgement, which takes some 40
+    // ms.
     set_option(socket, IPPROTO_TCP, TCP_NODELAY, 1);
 }
 
--- a/src/proxy/socket_options.hpp
+++ b/src/proxy/socket_options.hpp
@@ -5,19 +5,20 @@
 
 namespace caperjunction::proxy {
 
-/// Sets what each connection needs. Thread safety: any thread.
+/// Disables Nagle's algorithm. Thread safety: any thread.
 void set_no_delay(int socket);
 
-/// Ends a connection whose other side acknowledges nothing for some time, for
-/// connections to upstreams: nothing else tells that one has lost power.
+/// Makes the system end a connection whose peer acknowledges nothing for some
+/// time. For connections to upstreams: without it, an upstream that lost power
+/// is not detected.
 ///
-/// Not for callers: one that reads nothing for a while, or whose link is full,
-/// is alive, and its request's deadline ends it anyhow. Thread safety: any
-/// thread.
+/// Not for callers: a caller that reads nothing for a while, or whose link is
+/// saturated, is alive, and its request's deadline ends the connection in any
+/// case. Thread safety: any thread.
 void set_unacknowledged_timeout(int socket);
 
-/// How a connection whose call failed with this `errno` ended. Thread
-/// safety: any thread.
+/// Maps the `errno` of a failed socket call to the way in which the connection
+/// ended. Thread safety: any thread.
 connection_end classify_socket_error(int failure);
 
 } // namespace caperjunction::proxy
--- a/src/proxy/store_codec.hpp
+++ b/src/proxy/store_codec.hpp
@@ -15,16 +15,16 @@
 
 namespace caperjunction::proxy {
 
-/// A page of items, or the changes that a watch gave.
+/// A page of items, or the changes returned by a watch.
 struct store_answer
 {
     std::vector<store_item> items;
     bool has_more = false;
-    /// The store's revision when it answered.
+    /// Revision of the store at the time of the answer.
     std::uint64_t revision = 0;
 };
 
-/// What an item says.
+/// Decoded content of an item.
 struct unreadable_upstream
 {
     std::string id;
@@ -41,12 +41,12 @@
                                   unreadable_upstream,
                                   removed_upstream>;
 
-/// The platform's calls and formats.
+/// Request targets and formats of the platform's store.
 struct store_codec
 {
-    /// What is read; each item begins with one of these.
+    /// Key prefixes to read.
     std::vector<std::string> prefixes;
-    /// Longest wait that a watch may ask for.
+    /// Maximum wait that a watch may request.
     model::milliseconds max_watch_wait{30'000};
     std::function<std::string(std::string const& prefix,
                               std::string const& after_key)>
@@ -55,15 +55,16 @@
                               std::uint64_t after_revision,
                               model::milliseconds wait)>
         watch_target;
-    /// \throws std::exception if the body can't be read.
+    /// \throws std::exception if the body can't be parsed.
     std::function<store_answer(std::string const& body)> read_range;
     std::function<store_answer(std::string const& body)> read_watch;
-    /// \throws model::error (bad_list) for a configuration that can't be
-    /// read; entries of upstreams that can't be are named as such.
+    /// \throws model::error (bad_list) if a configuration can't be parsed. An
+    /// invalid upstream entry is returned as `unreadable_upstream`.
     std::function<store_record(store_item const&)> decode;
-    /// Whether the configuration stands under this key.
+    /// Whether `key` is the key of the configuration.
     std::function<bool(std::string const& key)> is_configuration;
-    /// The upstream that a key names; empty if it names none.
+    /// Returns the id of the upstream that `key` refers to; empty if it refers
+    /// to none.
     std::function<std::string(std::string const& key)> upstream_id;
 };
 
--- a/src/proxy/store_item.hpp
+++ b/src/proxy/store_item.hpp
@@ -6,11 +6,11 @@
 
 namespace caperjunction::proxy {
 
-/// One item of the platform's store, or its removal.
+/// An item of the platform's store, or the removal of one.
 struct store_item
 {
     std::string key;
-    /// Any bytes; empty if removed.
+    /// Arbitrary bytes; empty if removed.
     std::string value;
     std::uint64_t revision = 0;
     bool removed = false;
--- a/src/proxy/store_reader.cpp
+++ b/src/proxy/store_reader.cpp
@@ -9,22 +9,25 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// Far above a round trip between regions; a slow store is given more by the
-/// next tries, see `failed`.
+/// Far above a round trip between regions. A slow store is given more time by
+/// later attempts, see `send_request`.
 constexpr model::milliseconds read_timeout{700};
 constexpr model::milliseconds connect_timeout{400};
 
-/// Between two tries after a failure; doubled up to the longest. The store
-/// prices calls, and keys are refused while it is away: short is better.
+/// Delay between two attempts after a failure, doubled up to the maximum. The
+/// store charges for requests, but keys are refused while it is unavailable, so
+/// the delay is short.
 constexpr model::milliseconds min_retry_delay{50};
 constexpr model::milliseconds max_retry_delay{400};
-/// The same where other hosts watch for this one. While the store is away no
-/// host of a fleet hears anything new, and all look for themselves; each look
-/// in vain is paid for, and those that watch will tell of its return.
+/// The maximum for a host whose peers watch the store for it. While the store
+/// is unavailable, no host of a fleet receives anything new, and all poll it
+/// themselves. Each failed poll is charged, and the watching hosts announce
+/// when the store is back.
 constexpr model::milliseconds max_idle_retry_delay{2'000};
 
-/// For how long changes are gathered, far below what a change may take to
-/// be in force: each change would end a watch of each host otherwise.
+/// Time for which changes are collected, far below the time within which a
+/// change must be in force. Without it, each change ends one watch of each
+/// host.
 constexpr model::milliseconds batch_time{300};
 
 constexpr int ok = 200;
@@ -74,7 +77,8 @@
     request.at = m_at;
     request.target = target;
     request.connect_timeout = connect_timeout;
-    // Later tries wait longer: a store that answers slowly is not away.
+    // Later attempts wait longer, because a store that answers slowly is not
+    // unavailable.
     auto const extra_time = read_timeout * std::min(m_failures, 3U);
     request.first_byte_timeout = limit + extra_time;
     request.idle_timeout = read_timeout + extra_time;
@@ -112,7 +116,8 @@
     }
     bool const is_first = m_keys.empty();
     if (is_first) {
-        // Pages are no snapshot: changes since the first one are watched.
+        // Pages are not a snapshot: changes since the first page are received
+        // by the watch.
         m_revision = page.revision;
     }
     handle_success();
@@ -163,9 +168,9 @@
     }
 }
 
-// An answer with changes confirms only what was so when the call left here:
-// the next call waits for less, so that beliefs are confirmed as often while
-// much changes as when nothing does.
+// An answer with changes confirms only the state at the time of the request.
+// The next request waits for less, so that the state is confirmed as often
+// during frequent changes as without any.
 model::milliseconds store_reader::next_wait() const
 {
     auto const age = std::chrono::duration_cast<model::milliseconds>(
@@ -175,8 +180,8 @@
 
 void store_reader::watch()
 {
-    // After a failure the store is asked at once: a long wait would leave
-    // open whether it is back.
+    // After a failure the store is asked for an immediate answer: a long wait
+    // would not show whether it is available again.
     bool const at_once = m_failures > 0 || m_polls_once;
     auto const wait = at_once ? model::milliseconds{1} : next_wait();
     m_requested_wait = wait;
@@ -210,8 +215,9 @@
         m_hooks.on_item(item);
     }
     m_revision = std::max(m_revision, changes.revision);
-    // The store has looked no earlier than the call left here; if it let the
-    // call wait in vain, no earlier than the end of that wait.
+    // The store evaluated the request no earlier than it was sent. If the
+    // request waited for its whole time without a change, the store evaluated
+    // it no earlier than the end of that wait.
     bool const waited =
         changes.items.empty() && m_boot_now() - m_sent_at >= m_requested_wait;
     m_confirmed =
@@ -221,7 +227,8 @@
         wait_or_watch();
         return;
     }
-    // Changes come in bunches: the next call brings all of one.
+    // Changes come in batches: the next request returns the rest of a batch at
+    // once.
     m_loop.cancel(m_retry_timer);
     m_retry_timer = m_loop.after(batch_time, [this] {
         wait_or_watch();
@@ -253,8 +260,9 @@
         if (m_is_complete) {
             watch();
         } else {
-            // Begun anew at each refusal, a large store's pages would never
-            // all be read while many hosts read at once.
+            // Continues at the refused page. If the read restarted after each
+            // refusal, a large store would never be read completely while many
+            // hosts read at once.
             read_page(m_keys.empty() ? "" : m_keys.back());
         }
     });
--- a/src/proxy/store_reader.hpp
+++ b/src/proxy/store_reader.hpp
@@ -15,36 +15,37 @@
 
 namespace caperjunction::proxy {
 
-/// How a call to the store failed.
+/// How a request to the store failed.
 struct store_failure
 {
     std::string_view reason;
-    /// range or watch.
+    /// Kind of request: range or watch.
     std::string_view call;
-    /// How far the answer had come.
+    /// Progress of the answer.
     get_progress progress;
 };
 
-/// What a reader tells its owner.
+/// Callbacks of a reader.
 struct store_hooks
 {
     std::function<void(store_item const&)> on_item;
-    /// The whole prefix was read anew; these keys are there.
+    /// The complete prefix has been read again. `keys` are all keys that exist.
     std::function<void(std::vector<std::string> const& keys)> on_complete;
-    /// The store has told all changes up to `revision`, and had no others as
-    /// of `as_of` (the clock that counts suspended time).
+    /// All changes up to `revision` have been received, and the store had no
+    /// others as of `as_of` (clock that includes suspended time).
     std::function<void(model::time_point as_of, std::uint64_t revision)>
         on_confirmed;
     std::function<void(store_failure const&)> on_lost;
     std::function<void()> on_regained;
 };
 
-/// Follows one prefix of the platform's store: reads it whole, then watches.
+/// Replicates one prefix of the platform's store: reads it completely, then
+/// watches it.
 ///
-/// The store may be silent, slow, refuse this host alone, or forget the
-/// history that a watch would go on from. Each call has a timeout of its own,
-/// failures are tried again after a growing wait, and a forgotten history
-/// leads to a whole read.
+/// The store may be unresponsive, slow, refuse only this host, or discard the
+/// history that a watch needs. Each request has its own timeout, failures are
+/// retried with exponential back-off, and a discarded history triggers a
+/// complete read.
 ///
 /// Thread safety: none; owned by the loop's task.
 class store_reader
@@ -59,25 +60,26 @@
     store_reader(store_reader const&) = delete;
     store_reader& operator=(store_reader const&) = delete;
 
-    /// Begins reading. `wait`: how long a watch waits for a change; what is
-    /// believed is confirmed that often.
+    /// Starts reading. `wait` is the time for which a watch waits for a change,
+    /// and thereby the interval at which the replicated state is confirmed.
     void start(model::milliseconds wait,
                std::function<model::time_point()> boot_now);
 
-    /// Changes how long a watch waits, from the next one on.
+    /// Sets the time for which a watch waits, starting with the next watch.
     void set_watch_wait(model::milliseconds wait);
 
-    /// Whether another watch follows the present one. A reader that rests
-    /// holds what it has; a first whole read is made in any case.
+    /// Sets whether another watch follows the current one. An idle reader keeps
+    /// its state. The first complete read is made in any case.
     void set_watching(bool on);
 
-    /// Asks once whether anything has changed, while it rests.
+    /// Polls the store once for changes, if the reader is idle.
     void poll_once();
 
-    /// All changes up to `revision` are known from elsewhere. While it rests,
-    /// the reader goes on from there: asked for what came before, the store
-    /// would tell of an upstream that peers have long said to be gone, and
-    /// not yet of its end.
+    /// Tells the reader that all changes up to `revision` were received from
+    /// peers. If idle, the reader continues from there. Polled from its own
+    /// older revision, the store would return the entry of an upstream that
+    /// peers have already reported as removed, and return the removal only with
+    /// the next poll.
     void skip_to(std::uint64_t revision);
 
 private:
@@ -99,7 +101,7 @@
     std::string m_prefix;
     store_hooks m_hooks;
     model::milliseconds m_watch_wait{0};
-    /// What the present watch asked for.
+    /// Wait that the current watch requested.
     model::milliseconds m_requested_wait{0};
     std::function<model::time_point()> m_boot_now;
 
--- a/src/proxy/tcp_stream.cpp
+++ b/src/proxy/tcp_stream.cpp
@@ -16,7 +16,8 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// Taken in one read; larger than any event, and shared by all connections.
+/// Bytes per read. Larger than any event; the buffer is shared by all
+/// connections.
 constexpr std::size_t read_bytes = 65'536;
 
 } // namespace
@@ -114,19 +115,19 @@
 {
     static std::array<char, read_bytes> s_bytes;
     auto const guard = shared_from_this();
-    ssize_t const got = recv(m_socket, s_bytes.data(), s_bytes.size(), 0);
-    if (got > 0) {
-        m_late_bytes += m_finishing ? static_cast<std::size_t>(got) : 0;
+    ssize_t const received = recv(m_socket, s_bytes.data(), s_bytes.size(), 0);
+    if (received > 0) {
+        m_late_bytes += m_finishing ? static_cast<std::size_t>(received) : 0;
         if (!m_finishing && m_hooks.on_data) {
             auto const callback = m_hooks.on_data;
-            callback({s_bytes.data(), static_cast<std::size_t>(got)});
+            callback({s_bytes.data(), static_cast<std::size_t>(received)});
         }
         return;
     }
-    if (got < 0 && (errno == EAGAIN || errno == EINTR)) {
+    if (received < 0 && (errno == EAGAIN || errno == EINTR)) {
         return;
     }
-    end(got == 0 ? connection_end::closed : classify_socket_error(errno));
+    end(received == 0 ? connection_end::closed : classify_socket_error(errno));
 }
 
 void tcp_stream::handle_writable()
@@ -186,7 +187,7 @@
         if (sent > 0) {
             bytes.remove_prefix(static_cast<std::size_t>(sent));
         }
-        // A failure shows once more when the socket is read.
+        // A failure is reported again when the socket is read.
     }
     if (bytes.empty()) {
         return;
--- a/src/proxy/tcp_stream.hpp
+++ b/src/proxy/tcp_stream.hpp
@@ -16,20 +16,20 @@
 
 namespace caperjunction::proxy {
 
-/// What was left when a connection that this host closed is over.
+/// State of a connection that this host closed, at its end.
 struct close_report
 {
     connection_end end = connection_end::closed;
-    /// Bytes that the system had not taken.
+    /// Bytes that the socket had not accepted.
     std::size_t unsent_bytes = 0;
-    /// Bytes that came after this host had begun to close.
+    /// Bytes received after this host had started to close.
     std::size_t late_bytes = 0;
 };
 
-/// One TCP connection on the loop.
+/// A TCP connection on the event loop.
 ///
-/// Writes what the socket takes at once: an event of a stream then costs one
-/// read and one write, without a round through the loop.
+/// Writes directly to the socket when possible: forwarding an event then costs
+/// one read and one write, without another loop iteration.
 ///
 /// Thread safety: none; owned by the loop's task. Hooks may close it.
 class tcp_stream : public std::enable_shared_from_this<tcp_stream>
@@ -40,18 +40,18 @@
         std::function<void()> on_connected;
         std::function<void(std::string_view)> on_data;
         std::function<void(connection_end)> on_end;
-        /// All that was written has been handed to the system.
+        /// All written bytes have been handed to the socket.
         std::function<void()> on_drained;
     };
 
-    /// Connects; ends as unreachable after `timeout`, and as unacknowledged
-    /// where the other side falls silent.
+    /// Connects to `to`. Ends as unreachable after `timeout`, and as
+    /// unacknowledged if the peer stops responding.
     static std::shared_ptr<tcp_stream> connect(runtime::event_loop& loop,
                                                model::endpoint const& to,
                                                model::milliseconds timeout,
                                                hooks callbacks);
 
-    /// Takes over an accepted socket.
+    /// Takes ownership of an accepted socket.
     static std::shared_ptr<tcp_stream>
     adopt(runtime::event_loop& loop, int socket, hooks callbacks);
 
@@ -64,28 +64,30 @@
 
     void write(std::string_view bytes);
 
-    /// Stops or resumes reading; the other side's end isn't seen meanwhile.
+    /// Stops or resumes reading. While stopped, the end of the connection is
+    /// not detected.
     void enable_reading(bool enabled);
 
-    /// Hands on what has come by now, without waiting for the loop. Hooks may
-    /// be called before it returns.
+    /// Reads pending input without waiting for the loop. Hooks may be called
+    /// before it returns.
     void read_available();
 
-    /// Bytes that wait for the socket.
+    /// Returns the buffered bytes that the socket has not accepted.
     std::size_t unsent_bytes() const;
 
-    /// Ends the connection without a word; no hook is called any more.
+    /// Closes the connection. No hook is called afterwards.
     void close();
 
-    /// Ends the connection so that the other side learns that bytes are lost.
+    /// Closes the connection with a reset, so that the peer detects that bytes
+    /// were lost.
     void reset();
 
-    /// Sends what is left, says that nothing follows, and closes when the
-    /// other side has closed too, has had time to, or takes nothing any more.
-    /// Closing at once, with bytes of the caller unread, would reset the
-    /// connection and the answer with it.
+    /// Sends the buffered bytes, shuts down the sending side, and closes when
+    /// the peer has closed, the close timeout has expired, or the peer accepts
+    /// no more bytes. Closing immediately while unread input is pending would
+    /// reset the connection, and the peer would lose the answer.
     ///
-    /// `on_finished` is called once, when the connection is over, unless it
+    /// `on_finished` is called once, when the connection has ended, unless it
     /// is closed before.
     void
     close_gracefully(std::function<void(close_report const&)> on_finished = {});
@@ -102,7 +104,7 @@
     void handle_readable();
     void handle_writable();
     void flush();
-    void end(connection_end how);
+    void end(connection_end reason);
     void wait_for_close(std::size_t unsent_before, model::milliseconds stalled);
 
     runtime::event_loop& m_loop;
--- a/src/proxy/tcp_stream_close.cpp
+++ b/src/proxy/tcp_stream_close.cpp
@@ -9,10 +9,10 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// Time in which the other side may close after it has been sent all.
+/// Time in which the peer may close after everything has been sent.
 constexpr model::milliseconds close_timeout{1'000};
 
-/// A caller that takes no byte for so long has left.
+/// A caller that accepts no byte for this long is considered gone.
 constexpr model::milliseconds max_stall{10'000};
 
 } // namespace
@@ -34,7 +34,7 @@
     }
     m_finishing = true;
     m_on_finished = std::move(on_finished);
-    // Nobody hears of what follows; the owner may go.
+    // No hook is called from here on, so the owner may be destroyed.
     m_hooks = {};
     enable_reading(true);
     if (unsent_bytes() == 0) {
@@ -43,7 +43,8 @@
     wait_for_close(unsent_bytes(), model::milliseconds{0});
 }
 
-// The rest of an answer may need longer than any fixed time on a full link.
+// Over a saturated link, the rest of an answer may take longer than any fixed
+// timeout. Only a lack of progress ends the connection.
 void tcp_stream::wait_for_close(std::size_t unsent_before,
                                 model::milliseconds stalled)
 {
@@ -61,15 +62,15 @@
     });
 }
 
-void tcp_stream::end(connection_end how)
+void tcp_stream::end(connection_end reason)
 {
-    bool const tell = !m_finishing;
+    bool const should_notify = !m_finishing;
     auto const callback = m_hooks.on_end;
     auto const on_finished = std::exchange(m_on_finished, nullptr);
-    close_report const report{how, unsent_bytes(), m_late_bytes};
+    close_report const report{reason, unsent_bytes(), m_late_bytes};
     close();
-    if (tell && callback) {
-        callback(how);
+    if (should_notify && callback) {
+        callback(reason);
     }
     if (on_finished) {
         on_finished(report);
@@ -90,8 +91,8 @@
     }
     ::close(m_socket);
     m_socket = -1;
-    // The hooks keep their owner alive; whoever is being called from one of
-    // them holds a copy of it.
+    // The hooks keep their owner alive. A hook that is being called runs on a
+    // copy.
     m_hooks = {};
     m_on_finished = nullptr;
 }
--- a/src/proxy/text_packer.cpp
+++ b/src/proxy/text_packer.cpp
@@ -8,9 +8,9 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// A few milliseconds for some hundred kilobytes.
+/// Takes a few milliseconds for some hundred kilobytes.
 constexpr int compression_level = 3;
-/// Base and text have to lie in one window for matches to be found; 4 MB, as a
+/// Base and text must fit into one window for matches to be found; 4 MB, as a
 /// power of two.
 constexpr int window_log = 22;
 
@@ -45,7 +45,7 @@
     std::string packed(ZSTD_compressBound(text.size()), '\0');
     std::size_t const size = ZSTD_compress2(
         context.get(), packed.data(), packed.size(), text.data(), text.size());
-    // The bound leaves room for any text: memory alone can be short.
+    // The buffer is large enough for any text, so only memory can be short.
     if (ZSTD_isError(size) != 0) {
         throw std::bad_alloc();
     }
@@ -58,7 +58,7 @@
                                        std::size_t max_bytes)
 {
     auto const size = ZSTD_getFrameContentSize(packed.data(), packed.size());
-    // The two special values, unknown and error, are larger than any size.
+    // The two special values, unknown and error, exceed any size.
     if (size > max_bytes) {
         return std::nullopt;
     }
@@ -71,9 +71,9 @@
         ZSTD_DCtx_refPrefix(context.get(), base.data(), base.size());
     }
     std::string text(size, '\0');
-    std::size_t const got = ZSTD_decompressDCtx(
+    std::size_t const written = ZSTD_decompressDCtx(
         context.get(), text.data(), text.size(), packed.data(), packed.size());
-    if (got != text.size()) {
+    if (written != text.size()) {
         return std::nullopt;
     }
     return text;
--- a/src/proxy/text_packer.hpp
+++ b/src/proxy/text_packer.hpp
@@ -8,15 +8,15 @@
 
 namespace caperjunction::proxy {
 
-/// Compresses `text` (zstd), against `base` unless that is empty: of two
-/// versions of one text the difference is left.
+/// Compresses `text` (zstd). A non-empty `base` serves as dictionary, so that
+/// only the difference between two versions of a text remains.
 ///
 /// Thread safety: any thread.
-/// \throws std::bad_alloc if there is no memory for it.
+/// \throws std::bad_alloc if memory is exhausted.
 std::string pack_text(std::string_view text, std::string_view base);
 
-/// The text that was packed against the same `base`; nothing if the bytes
-/// aren't that, or the text would be larger than `most` bytes.
+/// Decompresses a text that was compressed against the same `base`. Returns
+/// std::nullopt if the bytes are invalid or the text exceeds `max_bytes`.
 ///
 /// Thread safety: any thread.
 std::optional<std::string> unpack_text(std::string_view packed,
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -6,11 +6,11 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// Kept where the upstream doesn't say for how long: short enough for common
-/// servers, which close after five seconds and more.
+/// Used if the upstream states no timeout. Short enough for common servers,
+/// which close after five seconds or more.
 constexpr model::milliseconds default_keep_alive{4'000};
-/// Between our send and its arrival the upstream may close: a request that
-/// crosses the close may or may not have run.
+/// The upstream may close between the send and the arrival of a request.
+/// Whether a request that crosses the close has run is unknown.
 constexpr model::milliseconds keep_alive_margin{500};
 
 constexpr std::string_view timeout_key = "timeout=";
@@ -67,12 +67,12 @@
              [this](std::string_view bytes) {
                  handle_data(bytes);
              },
-             [this](connection_end how) {
+             [this](connection_end reason) {
                  auto const guard = shared_from_this();
-                 if (how == connection_end::closed && m_reader.feed_end()) {
+                 if (reason == connection_end::closed && m_reader.feed_end()) {
                      return;
                  }
-                 fail(how == connection_end::unreachable
+                 fail(reason == connection_end::unreachable
                           ? answer_fault::unreachable
                           : answer_fault::broken);
              },
@@ -86,7 +86,7 @@
     auto const guard = shared_from_this();
     while (!bytes.empty() && m_stream && m_stream->is_open()) {
         if (m_is_available) {
-            // Bytes after a whole answer belong to no request.
+            // Bytes after a complete answer belong to no request.
             close();
             return;
         }
@@ -132,8 +132,9 @@
         m_skipping = false;
         return;
     }
-    // An upstream may answer before it has the whole request and then read
-    // on: what is unsent would be taken for the next request.
+    // An upstream may answer before it has received the complete request and
+    // then continue to read. The unsent rest would be parsed as the next
+    // request.
     m_is_reusable = m_is_reusable && m_stream->unsent_bytes() == 0;
     m_is_available = true;
     m_idle_since = m_loop.now();
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -15,28 +15,28 @@
 
 namespace caperjunction::proxy {
 
-/// Why an answer didn't come whole.
+/// Why no complete answer was received.
 enum class answer_fault : std::uint8_t
 {
-    /// Nothing was sent: the upstream can't be reached.
+    /// The upstream can't be reached; nothing was sent.
     unreachable,
-    /// The connection broke after the request had been sent.
+    /// The connection failed after the request had been sent.
     broken,
-    /// The bytes are no answer.
+    /// The bytes are not a valid answer.
     malformed,
 };
 
-/// What a user of a connection wants to hear.
+/// Callbacks for one request.
 struct answer_hooks
 {
     std::function<void(message_head&&)> on_head;
     std::function<void(std::string_view)> on_body;
-    /// The answer is whole.
+    /// The answer is complete.
     std::function<void()> on_end;
     std::function<void(answer_fault)> on_fault;
 };
 
-/// A connection to one upstream that serves one request after the other.
+/// A connection to one upstream that carries one request at a time.
 ///
 /// Thread safety: none; owned by the loop's task. Hooks may drop it.
 class upstream_connection
@@ -48,24 +48,25 @@
     upstream_connection(upstream_connection const&) = delete;
     upstream_connection& operator=(upstream_connection const&) = delete;
 
-    /// Sends a request; it goes out when the connection stands.
-    /// \pre is_free().
+    /// Sends a request, as soon as the connection is established. \pre
+    /// is_available().
     void send(std::string const& request,
               bool is_head_request,
               model::milliseconds connect_timeout,
               answer_hooks callbacks);
 
-    /// Ends the connection and with it the work that the upstream does.
+    /// Closes the connection, which cancels the upstream's work for the
+    /// request.
     void close();
 
-    /// Stops or resumes taking the answer's bytes.
+    /// Stops or resumes reading the answer.
     void enable_reading(bool enabled);
 
-    /// The answer that comes first isn't the one that was asked for: what
-    /// follows it is read as the next, and the connection isn't kept.
+    /// Discards the current answer, which belongs to another request. The next
+    /// one is parsed as the answer, and the connection is not reused.
     void skip_answer();
 
-    /// May serve another request.
+    /// Whether the connection can carry another request.
     bool is_available() const
     {
         return m_is_available && m_is_reusable;
@@ -76,7 +77,7 @@
         return m_stream == nullptr || m_stream->is_open();
     }
 
-    /// Request bytes have left for the upstream, as far as can be known.
+    /// Whether request bytes may have been sent to the upstream.
     bool has_sent() const
     {
         return m_connected;
@@ -87,7 +88,7 @@
         return m_idle_since;
     }
 
-    /// How long the upstream keeps it open without a request.
+    /// Time for which the upstream keeps the idle connection open.
     model::milliseconds keep_alive() const
     {
         return m_keep_alive;
--- a/src/proxy/upstream_pool.hpp
+++ b/src/proxy/upstream_pool.hpp
@@ -13,7 +13,7 @@
 
 namespace caperjunction::proxy {
 
-/// Keeps connections to upstreams for the next request: a new one costs a
+/// Keeps idle connections to upstreams for reuse. A new connection costs a
 /// round trip and, at some upstreams, a slot.
 ///
 /// Thread safety: none; owned by the loop's task.
@@ -22,19 +22,19 @@
 public:
     explicit upstream_pool(runtime::event_loop& loop);
 
-    /// A connection that is free, the one used last first, or a new one.
+    /// Returns the most recently used idle connection, or a new one.
     std::shared_ptr<upstream_connection>
     acquire(routing::upstream_ptr const& upstream);
 
-    /// Puts back a connection whose answer has come whole.
+    /// Returns a connection to the pool after a complete answer.
     void release(routing::upstream_ptr const& upstream,
                  std::shared_ptr<upstream_connection> connection);
 
-    /// Closes what has been idle for too long, and all to upstreams that
-    /// are gone.
+    /// Closes connections that have been idle for too long, and all connections
+    /// to upstreams that were removed.
     void close_idle();
 
-    /// Connections opened so far.
+    /// Number of connections opened so far.
     std::uint64_t connections_opened() const
     {
         return m_opened;
--- a/src/proxy/wire_buffer.hpp
+++ b/src/proxy/wire_buffer.hpp
@@ -9,9 +9,9 @@
 
 namespace caperjunction::proxy {
 
-/// The message in `bytes`; null if they are none.
+/// Returns the message in `bytes`, or null if they fail verification.
 ///
-/// Thread safety: any thread. The message lives as long as the bytes.
+/// Thread safety: any thread. The message is valid as long as the bytes.
 template <typename Message>
 Message const* verified(std::string_view bytes)
 {
@@ -23,7 +23,7 @@
                : nullptr;
 }
 
-/// The bytes of a finished message.
+/// Returns the bytes of a finished message.
 ///
 /// Thread safety: any thread.
 inline std::string text_of(flatbuffers::FlatBufferBuilder const& builder)
--- a/src/proxy/wire_names.hpp
+++ b/src/proxy/wire_names.hpp
@@ -6,34 +6,35 @@
 
 namespace caperjunction::proxy {
 
-/// The headers that callers and upstreams use, by what they hold.
+/// Names of the headers that callers and upstreams use.
 struct wire_names
 {
-    /// One try of one caller; upstreams repeat it in their answers.
+    /// Id of one attempt of a caller; upstreams repeat it in their answers.
     std::string request_id;
-    /// Milliseconds that the receiver's work is still wanted.
+    /// Milliseconds for which the result is still useful to the caller.
     std::string deadline_ms;
     /// ID:TOKENS of each part of the prompt, in order.
     std::string prompt_parts;
-    /// Prompt tokens and most output tokens.
+    /// Prompt tokens and maximum output tokens.
     std::string token_counts;
-    /// The last whole event that the receiver of a stream has.
+    /// Id of the last complete event that the receiver of a stream has.
     std::string last_event_id;
-    /// An upstream's mark on an answer that is its own.
+    /// Present on an answer that the upstream itself generated.
     std::string seal;
-    /// The team that holds the caller's key; only hosts set it.
+    /// Team that owns the caller's key; set by hosts only.
     std::string team;
-    /// The one upstream that may run the request; only hosts set it.
+    /// The only upstream that may run the request; set by hosts only.
     std::string expected_instance;
-    /// The upstream has not run the request.
+    /// Present if the upstream has not run the request.
     std::string not_run;
-    /// Requests a second that an upstream in need takes from all hosts.
+    /// Requests per second that an overloaded upstream accepts from all hosts
+    /// together.
     std::string request_limit;
-    /// Rank at the engine; only hosts set it.
+    /// Rank at the engine; set by hosts only.
     std::string priority;
-    /// How an API key is announced, e.g. Bearer.
+    /// Authentication scheme of API keys, e.g. Bearer.
     std::string key_scheme;
-    /// Where the balancer asks whether this host is ready.
+    /// Path at which the load balancer checks whether this host is ready.
     std::string readiness_path;
     /// Headers that callers must not set for upstreams, in lower case.
     std::vector<std::string> host_only;
