--- a/tests/proxy/connection_report_test.cpp
+++ b/tests/proxy/connection_report_test.cpp
@@ -7,9 +7,9 @@
 
 using proxy::connection_end;
 
-scripted_upstream& add_slow(relay_fixture& site)
+scripted_upstream& add_slow_upstream(relay_fixture& fixture)
 {
-    return site.add("i-1", "ledger", [](received const&) -> script {
+    return fixture.add("i-1", "ledger", [](received const&) -> script {
         return {stream_head() + chunk("id: 1\ndata: a\n\n"),
                 false,
                 false,
@@ -18,80 +18,80 @@
     });
 }
 
-std::shared_ptr<plain_client> begin_stream(relay_fixture& site)
+std::shared_ptr<plain_client> start_stream(relay_fixture& fixture)
 {
-    auto made = site.send(relay_fixture::request("/stream/"));
-    REQUIRE(site.run_until([&made] {
-        return made->got.find("data: a") != std::string::npos;
+    auto result = fixture.send(relay_fixture::request("/stream/"));
+    REQUIRE(fixture.run_until([&result] {
+        return result->received_bytes.find("data: a") != std::string::npos;
     }));
-    return made;
+    return result;
 }
 
 } // namespace
 
-TEST_CASE("a caller that closes in the middle of an answer is named")
+TEST_CASE("a caller that closes during an answer is reported")
 {
-    relay_fixture site;
-    add_slow(site);
-    auto const caller = begin_stream(site);
+    relay_fixture fixture;
+    add_slow_upstream(fixture);
+    auto const caller = start_stream(fixture);
     caller->stream->close();
-    REQUIRE(site.run_until([&site] {
-        return !site.reports.empty();
+    REQUIRE(fixture.run_until([&fixture] {
+        return !fixture.reports.empty();
     }));
-    CHECK(site.reports.back().ended_by == "closed");
-    REQUIRE(site.connections.size() == 1);
-    CHECK(site.connections.back().end == connection_end::closed);
-    CHECK(site.connections.back().activity == "serving");
-    CHECK(!site.connections.back().is_loss());
+    CHECK(fixture.reports.back().ended_by == "closed");
+    REQUIRE(fixture.connections.size() == 1);
+    CHECK(fixture.connections.back().end == connection_end::closed);
+    CHECK(fixture.connections.back().activity == "serving");
+    CHECK(!fixture.connections.back().is_loss());
 }
 
-TEST_CASE("a caller that resets in the middle of an answer is named")
+TEST_CASE("a caller that resets during an answer is reported")
 {
-    relay_fixture site;
-    add_slow(site);
-    auto const caller = begin_stream(site);
+    relay_fixture fixture;
+    add_slow_upstream(fixture);
+    auto const caller = start_stream(fixture);
     caller->stream->reset();
-    REQUIRE(site.run_until([&site] {
-        return !site.reports.empty();
+    REQUIRE(fixture.run_until([&fixture] {
+        return !fixture.reports.empty();
     }));
-    CHECK(site.reports.back().ended_by == "reset");
+    CHECK(fixture.reports.back().ended_by == "reset");
 }
 
-TEST_CASE("a connection that is cut with its answer is named as this host's")
+TEST_CASE("a connection cut off during an answer is reported as closed here")
 {
-    relay_fixture site;
-    add_slow(site);
-    auto const caller = begin_stream(site);
-    site.relay.plan_stop(site.loop.now() - 7'700ms, [] {});
-    REQUIRE(site.run_until([&caller] {
+    relay_fixture fixture;
+    add_slow_upstream(fixture);
+    auto const caller = start_stream(fixture);
+    fixture.relay.plan_stop(fixture.loop.now() - 7'700ms, [] {});
+    REQUIRE(fixture.run_until([&caller] {
         return caller->closed;
     }));
-    REQUIRE(site.connections.size() == 1);
-    CHECK(site.connections.back().end == connection_end::own_close);
-    CHECK(site.connections.back().activity == "serving");
-    CHECK(site.connections.back().is_loss());
+    REQUIRE(fixture.connections.size() == 1);
+    CHECK(fixture.connections.back().end == connection_end::own_close);
+    CHECK(fixture.connections.back().activity == "serving");
+    CHECK(fixture.connections.back().is_loss());
 }
 
-TEST_CASE("an answer that ends a connection leaves nothing behind")
+TEST_CASE("a connection that ends after its answer is reported without loss")
 {
-    relay_fixture site;
-    site.add("i-1", "ledger", [](received const&) -> script {
-        return {sound("done")};
+    relay_fixture fixture;
+    fixture.add("i-1", "ledger", [](received const&) -> script {
+        return {valid_answer("done")};
     });
-    auto const caller = site.send(
+    auto const caller = fixture.send(
         relay_fixture::request("/book/", "a1", "Connection: close\r\n"));
-    REQUIRE(site.run_until([&caller] {
+    REQUIRE(fixture.run_until([&caller] {
         return caller->closed;
     }));
     caller->stream->close();
-    REQUIRE(site.run_until([&site] {
-        return !site.connections.empty();
+    REQUIRE(fixture.run_until([&fixture] {
+        return !fixture.connections.empty();
     }));
-    CHECK(site.connections.back().activity == "finishing");
-    CHECK(site.connections.back().end == connection_end::closed);
-    CHECK(!site.connections.back().is_loss());
-    CHECK(site.reports.back().ended_by.empty());
-    CHECK(site.reports.back().since_stop < 0ms);
+    CHECK(fixture.connections.back().activity == "finishing");
+    CHECK(fixture.connections.back().end == connection_end::closed);
+    CHECK(!fixture.connections.back().is_loss());
+    CHECK(fixture.reports.back().ended_by.empty());
+    CHECK(fixture.reports.back().since_stop < 0ms);
 }
 
 } // namespace caperjunction::test
--- a/tests/proxy/peer_fetcher_test.cpp
+++ b/tests/proxy/peer_fetcher_test.cpp
@@ -23,36 +23,36 @@
     return proxy::encode_items(list);
 }
 
-/// A host that asks another, which answers in pieces.
-struct asking
+/// A host that fetches a list from a peer, which answers in pieces.
+struct fetching_host
 {
-    asking(std::size_t piece_bytes, model::milliseconds between)
-        : piece(piece_bytes)
-        , pause(between)
+    fetching_host(std::size_t piece_bytes, model::milliseconds between)
+        : piece_size(piece_bytes)
+        , delay(between)
     {
     }
 
     runtime::event_loop loop;
-    std::size_t piece;
-    model::milliseconds pause;
+    std::size_t piece_size;
+    model::milliseconds delay;
     test::scripted_upstream peer{loop, [this](test::received const&) {
                                      std::string const body = some_list();
-                                     test::script play;
-                                     play.rest = fmt::format(
+                                     test::script plan;
+                                     plan.remainder = fmt::format(
                                          "HTTP/1.1 200 OK\r\nContent-Length: "
                                          "{}\r\nConnection: close\r\n\r\n{}",
                                          body.size(),
                                          body);
-                                     play.pause = pause;
-                                     play.piece = piece;
-                                     return play;
+                                     plan.delay = delay;
+                                     plan.piece_bytes = piece_size;
+                                     return plan;
                                  }};
-    std::optional<std::uint64_t> taken;
+    std::optional<std::uint64_t> received_revision;
     std::string outcome;
     program::peer_fetcher fetcher{
         loop,
         {[this](std::string_view, std::string const& body) {
-             taken = proxy::decode_items(body)->revision;
+             received_revision = proxy::decode_items(body)->revision;
              return true;
          },
          [this](program::fetch_report const& ended) {
@@ -71,21 +71,23 @@
 
 } // namespace
 
-// Twelve hosts ask one on a narrow link. Each of their lists takes longer than
-// one alone; dropped for that, all begin anew and none ever has it.
-TEST_CASE("a list of another host that keeps coming is not given up")
+// Twelve hosts fetch a list from one host over a narrow link, so each transfer
+// takes longer than a single one would. If slow transfers were dropped, all
+// hosts would start again and none would ever have the list.
+TEST_CASE("a peer's list that arrives slowly is not abandoned")
 {
-    asking host(60, 400ms);
+    fetching_host host(60, 400ms);
     host.run(6s);
     CHECK(host.outcome == "taken");
-    CHECK(host.taken == 7);
+    CHECK(host.received_revision == 7);
 }
 
-// A host that froze midway would otherwise never be left for another.
-TEST_CASE("a list of another host that stops midway is given up")
+// Guards against waiting forever for a host that froze midway instead of trying
+// another.
+TEST_CASE("a peer's list that stalls midway is abandoned")
 {
-    asking host(300, 2s);
+    fetching_host host(300, 2s);
     host.run(3s);
     CHECK(host.outcome == "silent");
-    CHECK(!host.taken);
+    CHECK(!host.received_revision);
 }
--- a/tests/proxy/relay_close_test.cpp
+++ b/tests/proxy/relay_close_test.cpp
@@ -1,5 +1,5 @@
 #include "proxy/relay_fixture.hpp"
-#include "proxy/reluctant_reader.hpp"
+#include "proxy/slow_reader.hpp"
 
 #include <doctest/doctest.h>
 
@@ -12,96 +12,96 @@
 namespace caperjunction::test {
 namespace {
 
-script answers_done(received const&)
+script answer_done(received const&)
 {
-    return {sound("done")};
+    return {valid_answer("done")};
 }
 
 } // namespace
 
-TEST_CASE("a request that has come is served before its connection is closed")
+TEST_CASE("a request that has arrived is served before its connection closes")
 {
-    relay_fixture site;
-    site.add("i-1", "ledger", answers_done);
-    auto const ends = connected_pair();
-    reluctant_reader caller(ends[1]);
+    relay_fixture fixture;
+    fixture.add("i-1", "ledger", answer_done);
+    auto const ends = make_socket_pair();
+    slow_reader caller(ends[1]);
     bool closed = false;
     auto const served = std::make_shared<proxy::caller>(
-        site.context, [&closed](proxy::caller const*) {
+        fixture.context, [&closed](proxy::caller const*) {
             closed = true;
         });
     served->serve(ends[0]);
     caller.send(relay_fixture::request("/book/"));
     served->close_if_idle(0ms);
-    CHECK(site.run_until([&caller] {
-        return caller.got().find("done") != std::string::npos;
+    CHECK(fixture.run_until([&caller] {
+        return caller.received_bytes().find("done") != std::string::npos;
     }));
     CHECK(!closed);
     served->abort();
 }
 
-TEST_CASE("a request that crosses the close of its connection stays unread")
+TEST_CASE("a request that arrives during the close stays unread")
 {
-    relay_fixture site;
-    auto lists = site.context.table->lists();
+    relay_fixture fixture;
+    auto lists = fixture.context.table->lists();
     lists.limits.idle_timeout = 50ms;
-    site.context.table = std::make_shared<routing::route_table const>(lists);
-    auto const ends = connected_pair();
-    reluctant_reader const caller(ends[1]);
-    site.relay.serve(ends[0]);
-    REQUIRE(site.run_until([&site] {
-        return !site.connections.empty();
-    }));
-    CHECK(site.connections.back().end == proxy::connection_end::own_close);
+    fixture.context.table = std::make_shared<routing::route_table const>(lists);
+    auto const ends = make_socket_pair();
+    slow_reader const caller(ends[1]);
+    fixture.relay.serve(ends[0]);
+    REQUIRE(fixture.run_until([&fixture] {
+        return !fixture.connections.empty();
+    }));
+    CHECK(fixture.connections.back().end == proxy::connection_end::own_close);
     CHECK(!caller.can_send(relay_fixture::request("/book/")));
 }
 
-TEST_CASE("a shorter idle limit holds from a connection's next answer on")
+TEST_CASE("a shorter idle timeout applies from the next answer on")
 {
-    relay_fixture site;
-    site.add("i-1", "ledger", answers_done);
-    auto const caller = site.send(relay_fixture::request("/book/"));
-    REQUIRE(site.run_until([&caller] {
-        return caller->got.find("done") != std::string::npos;
+    relay_fixture fixture;
+    fixture.add("i-1", "ledger", answer_done);
+    auto const caller = fixture.send(relay_fixture::request("/book/"));
+    REQUIRE(fixture.run_until([&caller] {
+        return caller->received_bytes.find("done") != std::string::npos;
     }));
-    auto lists = site.context.table->lists();
+    auto lists = fixture.context.table->lists();
     lists.limits.idle_timeout = 1ms;
-    site.context.table = std::make_shared<routing::route_table const>(lists);
-    site.run_for(400ms);
+    fixture.context.table = std::make_shared<routing::route_table const>(lists);
+    fixture.run_for(400ms);
     CHECK(!caller->closed);
     caller->stream->write(relay_fixture::request("/book/", "a2"));
-    CHECK(site.run_until([&caller] {
+    CHECK(fixture.run_until([&caller] {
         return caller->closed;
     }));
-    CHECK(site.reports.size() == 2);
+    CHECK(fixture.reports.size() == 2);
 }
 
 TEST_CASE("a stopping host waits for the first request of a new connection")
 {
-    relay_fixture site;
-    site.add("i-1", "ledger", answers_done);
+    relay_fixture fixture;
+    fixture.add("i-1", "ledger", answer_done);
     bool stopped = false;
-    site.relay.plan_stop(site.loop.now() - 3'200ms, [&stopped] {
+    fixture.relay.plan_stop(fixture.loop.now() - 3'200ms, [&stopped] {
         stopped = true;
     });
-    site.run_for(100ms);
-    auto const caller = site.connect();
-    site.run_for(300ms);
+    fixture.run_for(100ms);
+    auto const caller = fixture.connect();
+    fixture.run_for(300ms);
     caller->stream->write(relay_fixture::request("/book/"));
-    CHECK(site.run_until([&caller] {
-        return caller->got.find("done") != std::string::npos;
+    CHECK(fixture.run_until([&caller] {
+        return caller->received_bytes.find("done") != std::string::npos;
     }));
-    CHECK(site.run_until([&stopped] {
+    CHECK(fixture.run_until([&stopped] {
         return stopped;
     }));
 }
 
-TEST_CASE("a stopping host keeps the connections that it has said it keeps")
+TEST_CASE("a stopping host keeps connections that it announced to keep")
 {
-    relay_fixture site;
-    site.add("i-1", "ledger", [](received const& request) -> script {
+    relay_fixture fixture;
+    fixture.add("i-1", "ledger", [](received const& request) -> script {
         if (request.head.target.find("/book/") == 0) {
-            return {sound("done")};
+            return {valid_answer("done")};
         }
         return {stream_head() + chunk("id: 1\ndata: a\n\n"),
                 false,
@@ -109,132 +109,133 @@
                 chunk("id: 2\ndata: b\n\n") + "0\r\n\r\n",
                 300ms};
     });
-    auto const caller = site.send(relay_fixture::request("/stream/"));
-    REQUIRE(site.run_until([&caller] {
-        return caller->got.find("data: a") != std::string::npos;
+    auto const caller = fixture.send(relay_fixture::request("/stream/"));
+    REQUIRE(fixture.run_until([&caller] {
+        return caller->received_bytes.find("data: a") != std::string::npos;
     }));
-    site.relay.plan_stop(site.loop.now(), [] {});
-    REQUIRE(site.run_until([&caller] {
-        return caller->got.find("0\r\n\r\n") != std::string::npos;
+    fixture.relay.plan_stop(fixture.loop.now(), [] {});
+    REQUIRE(fixture.run_until([&caller] {
+        return caller->received_bytes.find("0\r\n\r\n") != std::string::npos;
     }));
-    site.run_for(100ms);
+    fixture.run_for(100ms);
     CHECK(!caller->closed);
     caller->stream->write(relay_fixture::request("/book/", "a2"));
-    CHECK(site.run_until([&caller] {
-        return caller->got.find("done") != std::string::npos;
+    CHECK(fixture.run_until([&caller] {
+        return caller->received_bytes.find("done") != std::string::npos;
     }));
-    CHECK(caller->got.find("Connection: close") != std::string::npos);
-    CHECK(site.run_until([&caller] {
+    CHECK(caller->received_bytes.find("Connection: close")
+          != std::string::npos);
+    CHECK(fixture.run_until([&caller] {
         return caller->closed;
     }));
 }
 
 TEST_CASE("a request that outlasts a planned stop gets a final answer")
 {
-    relay_fixture site;
-    site.add("i-1", "ledger", [](received const&) -> script {
-        return {"", false, false, sound("late"), 3'000ms};
+    relay_fixture fixture;
+    fixture.add("i-1", "ledger", [](received const&) -> script {
+        return {"", false, false, valid_answer("late"), 3'000ms};
     });
-    auto const caller = site.send(relay_fixture::request("/book/"));
-    site.run_for(50ms);
+    auto const caller = fixture.send(relay_fixture::request("/book/"));
+    fixture.run_for(50ms);
     bool stopped = false;
-    site.relay.plan_stop(site.loop.now() - 7'400ms, [&stopped] {
+    fixture.relay.plan_stop(fixture.loop.now() - 7'400ms, [&stopped] {
         stopped = true;
     });
-    REQUIRE(site.run_until([&stopped] {
+    REQUIRE(fixture.run_until([&stopped] {
         return stopped;
     }));
-    CHECK(site.context.since_stop() < 7'990ms);
-    CHECK(caller->got.find("HTTP/1.1 502") == 0);
-    REQUIRE(site.reports.size() == 1);
-    CHECK(site.reports.back().ended_by == "own_close");
+    CHECK(fixture.context.since_stop() < 7'990ms);
+    CHECK(caller->received_bytes.find("HTTP/1.1 502") == 0);
+    REQUIRE(fixture.reports.size() == 1);
+    CHECK(fixture.reports.back().ended_by == "own_close");
 }
 
-TEST_CASE("the parts of a pipelined request are read in their order")
+TEST_CASE("the parts of a pipelined request are read in order")
 {
-    relay_fixture site;
-    auto& ledger = site.add("i-1", "ledger", answers_done);
-    auto const ends = connected_pair();
-    reluctant_reader const caller(ends[1]);
-    site.relay.serve(ends[0]);
+    relay_fixture fixture;
+    auto& ledger = fixture.add("i-1", "ledger", answer_done);
+    auto const ends = make_socket_pair();
+    slow_reader const caller(ends[1]);
+    fixture.relay.serve(ends[0]);
     constexpr std::size_t part = 30;
     std::string const second = relay_fixture::request("/book/", "a2");
     caller.send(relay_fixture::request("/book/") + second.substr(0, part));
-    REQUIRE(site.run_until([&site] {
-        return !site.reports.empty();
+    REQUIRE(fixture.run_until([&fixture] {
+        return !fixture.reports.empty();
     }));
     caller.send(second.substr(part));
-    CHECK(site.run_until([&site] {
-        return site.reports.size() == 2;
+    CHECK(fixture.run_until([&fixture] {
+        return fixture.reports.size() == 2;
     }));
     CHECK(ledger.requests.size() == 2);
-    CHECK(site.reports.back().status == 200);
+    CHECK(fixture.reports.back().status == 200);
 }
 
-TEST_CASE("a request that is here by now isn't refused as slow")
+TEST_CASE("a request that has arrived by now isn't rejected as slow")
 {
-    relay_fixture site;
-    site.add("i-1", "ledger", answers_done);
-    auto lists = site.context.table->lists();
+    relay_fixture fixture;
+    fixture.add("i-1", "ledger", answer_done);
+    auto lists = fixture.context.table->lists();
     lists.limits.idle_timeout = 100ms;
     lists.limits.header_timeout = 100ms;
-    site.context.table = std::make_shared<routing::route_table const>(lists);
-    auto const ends = connected_pair();
-    reluctant_reader const caller(ends[1]);
+    fixture.context.table = std::make_shared<routing::route_table const>(lists);
+    auto const ends = make_socket_pair();
+    slow_reader const caller(ends[1]);
     auto const served = std::make_shared<proxy::caller>(
-        site.context, [](proxy::caller const*) {});
+        fixture.context, [](proxy::caller const*) {});
     served->serve(ends[0]);
     constexpr std::size_t part = 30;
     std::string const text = relay_fixture::request("/book/");
     caller.send(text.substr(0, part));
-    site.run_for(30ms);
+    fixture.run_for(30ms);
     caller.send(text.substr(part));
     std::this_thread::sleep_for(150ms);
     served->check_timeouts();
-    CHECK(site.run_until([&site] {
-        return !site.reports.empty();
+    CHECK(fixture.run_until([&fixture] {
+        return !fixture.reports.empty();
     }));
-    CHECK(site.reports.back().outcome == "served");
+    CHECK(fixture.reports.back().outcome == "served");
     served->abort();
 }
 
-// A busy host tries again for a caller whose close it hasn't read.
-TEST_CASE("a request isn't sent again when its caller has left by then")
+// A busy host must not retry for a caller whose disconnect it has not read yet.
+TEST_CASE("a request isn't retried after its caller has disconnected")
 {
-    relay_fixture site;
-    std::vector<std::string> asked;
+    relay_fixture fixture;
+    std::vector<std::string> received_ids;
     int retries = 0;
-    site.context.on_retried = [&retries](proxy::exchange_report const&) {
+    fixture.context.on_retried = [&retries](proxy::exchange_report const&) {
         ++retries;
     };
-    auto const ends = connected_pair();
-    auto caller = std::make_unique<reluctant_reader>(ends[1]);
-    auto const note = [&](received const& request) -> script {
-        asked.push_back(*request.head.find("Attempt-Id"));
-        if (asked.back() == "busy") {
-            // The time for the other request's answer runs out meanwhile.
+    auto const ends = make_socket_pair();
+    auto caller = std::make_unique<slow_reader>(ends[1]);
+    auto const record = [&](received const& request) -> script {
+        received_ids.push_back(*request.head.find("Attempt-Id"));
+        if (received_ids.back() == "busy") {
+            // The first request's silence timeout expires meanwhile.
             caller.reset();
             std::this_thread::sleep_for(150ms);
         }
         return {};
     };
-    site.add("i-1", "ledger", note);
-    site.add("i-2", "ledger", note);
-    std::function<void()> always = [&] {
-        site.loop.defer(always);
+    fixture.add("i-1", "ledger", record);
+    fixture.add("i-2", "ledger", record);
+    std::function<void()> keep_busy = [&] {
+        fixture.loop.defer(keep_busy);
     };
-    site.loop.defer(always);
-    site.relay.serve(ends[0]);
+    fixture.loop.defer(keep_busy);
+    fixture.relay.serve(ends[0]);
     caller->send(relay_fixture::request("/view/", "left"));
-    REQUIRE(site.run_until([&asked] {
-        return !asked.empty();
+    REQUIRE(fixture.run_until([&received_ids] {
+        return !received_ids.empty();
     }));
-    auto const other = site.send(relay_fixture::request("/book/", "busy"));
-    REQUIRE(site.run_until([&site] {
-        return !site.reports.empty();
+    auto const other = fixture.send(relay_fixture::request("/book/", "busy"));
+    REQUIRE(fixture.run_until([&fixture] {
+        return !fixture.reports.empty();
     }));
-    site.run_for(100ms);
-    CHECK(site.reports.front().outcome == "left");
+    fixture.run_for(100ms);
+    CHECK(fixture.reports.front().outcome == "left");
     CHECK(retries == 0);
 }
 
--- a/tests/proxy/relay_fixture.cpp
+++ b/tests/proxy/relay_fixture.cpp
@@ -7,45 +7,45 @@
 
 proxy::relay_settings settings()
 {
-    proxy::relay_settings made;
-    made.listen = {"127.0.0.1", 0};
-    made.connect_timeout = 200ms;
-    return made;
+    proxy::relay_settings result;
+    result.listen = {"127.0.0.1", 0};
+    result.connect_timeout = 200ms;
+    return result;
 }
 
 routing::route make(std::string const& prefix,
                     routing::request_kind kind,
                     std::uint32_t attempts)
 {
-    routing::route made;
-    made.name = prefix;
-    made.authority = "desk.example";
-    made.prefix = prefix;
-    made.kind = kind;
-    made.max_attempts = attempts;
-    made.timeout = 2'000ms;
-    made.latency_target = 100ms;
-    made.split = {{"ledger", 1}};
-    return made;
+    routing::route result;
+    result.name = prefix;
+    result.authority = "desk.example";
+    result.prefix = prefix;
+    result.kind = kind;
+    result.max_attempts = attempts;
+    result.timeout = 2'000ms;
+    result.latency_target = 100ms;
+    result.split = {{"ledger", 1}};
+    return result;
 }
 
 routing::configuration lists()
 {
     using routing::request_kind;
-    routing::configuration made;
-    made.version = 1;
-    made.routes = {make("/book/", request_kind::at_most_once, 2),
-                   make("/view/", request_kind::idempotent, 2),
-                   make("/stream/", request_kind::stream, 1),
-                   make("/resume/", request_kind::stream, 3),
-                   make("/short/", request_kind::at_most_once, 1)};
-    made.routes[2].pause_target = 60ms;
-    made.routes[3].resumable = true;
-    made.routes[4].timeout = 300ms;
-    made.teams = {{"desk", {"secret"}, {}}};
-    made.limits.header_bytes = 4'096;
-    made.limits.body_bytes = 100'000;
-    return made;
+    routing::configuration result;
+    result.version = 1;
+    result.routes = {make("/book/", request_kind::at_most_once, 2),
+                     make("/view/", request_kind::idempotent, 2),
+                     make("/stream/", request_kind::stream, 1),
+                     make("/resume/", request_kind::stream, 3),
+                     make("/short/", request_kind::at_most_once, 1)};
+    result.routes[2].pause_target = 60ms;
+    result.routes[3].resumable = true;
+    result.routes[4].timeout = 300ms;
+    result.teams = {{"desk", {"secret"}, {}}};
+    result.limits.header_bytes = 4'096;
+    result.limits.body_bytes = 100'000;
+    return result;
 }
 
 } // namespace
@@ -94,39 +94,39 @@
 
 std::shared_ptr<plain_client> relay_fixture::connect()
 {
-    auto made = std::make_shared<plain_client>();
-    auto* const raw = made.get();
-    made->stream = proxy::tcp_stream::connect(
+    auto result = std::make_shared<plain_client>();
+    auto* const raw = result.get();
+    result->stream = proxy::tcp_stream::connect(
         loop,
         {"127.0.0.1", relay.port()},
         1'000ms,
         {nullptr,
          [raw](std::string_view bytes) {
-             raw->got.append(bytes);
+             raw->received_bytes.append(bytes);
          },
          [raw](proxy::connection_end how) {
              raw->closed = true;
              raw->broken = how != proxy::connection_end::closed;
          },
          nullptr});
-    return made;
+    return result;
 }
 
 std::shared_ptr<plain_client> relay_fixture::send(std::string const& text)
 {
-    auto made = connect();
-    made->stream->write(text);
-    return made;
+    auto result = connect();
+    result->stream->write(text);
+    return result;
 }
 
 bool relay_fixture::run_until(std::function<bool()> const& done)
 {
     auto const limit = loop.now() + 5s;
-    bool late = false;
-    auto const timer = loop.after(5s, [&late] {
-        late = true;
+    bool timed_out = false;
+    auto const timer = loop.after(5s, [&timed_out] {
+        timed_out = true;
     });
-    while (!done() && !late && loop.now() < limit) {
+    while (!done() && !timed_out && loop.now() < limit) {
         loop.run_once();
     }
     loop.cancel(timer);
@@ -160,7 +160,7 @@
                        body);
 }
 
-std::string sound(std::string const& body, std::string const& more)
+std::string valid_answer(std::string const& body, std::string const& more)
 {
     return fmt::format("HTTP/1.1 200 OK\r\nAttempt-Id: @ID@\r\n"
                        "Response-Seal: s1\r\n{}Content-Length: {}\r\n\r\n{}",
--- a/tests/proxy/relay_fixture.hpp
+++ b/tests/proxy/relay_fixture.hpp
@@ -15,11 +15,11 @@
 
 using namespace std::chrono_literals;
 
-/// A caller's connection that keeps all that it gets.
+/// A caller's connection that stores everything it receives.
 struct plain_client
 {
     std::shared_ptr<proxy::tcp_stream> stream;
-    std::string got;
+    std::string received_bytes;
     bool closed = false;
     bool broken = false;
 };
@@ -30,24 +30,24 @@
 public:
     relay_fixture();
 
-    /// Adds an upstream of `service` that answers so.
+    /// Adds an upstream of `service` that answers with `answer`.
     scripted_upstream& add(std::string const& id,
                            std::string const& service,
                            std::function<script(received const&)> answer);
 
     std::shared_ptr<plain_client> connect();
 
-    /// Sends `text` on a new connection.
+    /// Opens a connection and sends `text`.
     std::shared_ptr<plain_client> send(std::string const& text);
 
-    /// Runs the loop until `done`, at most some seconds. False if it never
-    /// was.
+    /// Runs the loop until `done` returns true. Returns false after some
+    /// seconds without that.
     bool run_until(std::function<bool()> const& done);
 
     /// Runs the loop for `time`.
     void run_for(model::milliseconds time);
 
-    /// A request to /book/, /view/, /stream/ or /resume/ with a key.
+    /// Returns a request to /book/, /view/, /stream/ or /resume/ with a key.
     static std::string request(std::string const& path,
                                std::string const& id = "a1",
                                std::string const& more = "",
@@ -68,10 +68,10 @@
     proxy::relay relay;
 };
 
-/// A whole answer with the marks of a sound upstream.
-std::string sound(std::string const& body, std::string const& more = "");
+/// A complete answer with the headers of a valid upstream.
+std::string valid_answer(std::string const& body, std::string const& more = "");
 
-/// The head of a sound stream, in chunks.
+/// The head of a valid chunked stream.
 std::string stream_head();
 
 std::string chunk(std::string const& bytes);
--- a/tests/proxy/relay_limit_test.cpp
+++ b/tests/proxy/relay_limit_test.cpp
@@ -13,94 +13,95 @@
 
 namespace {
 
-/// An answer of an upstream in need, or of one that no longer is.
+/// An answer with a request limit, or without one if `limit` is empty.
 script answer_naming(std::string const& limit)
 {
-    return {
-        sound("done", limit.empty() ? "" : "Server-Limit: " + limit + "\r\n")};
+    return {valid_answer(
+        "done", limit.empty() ? "" : "Server-Limit: " + limit + "\r\n")};
 }
 
-/// Sends one request after the other for `time`.
-void keep_sending(relay_fixture& site, model::milliseconds time)
+/// Sends requests one after the other for `time`.
+void send_for(relay_fixture& fixture, model::milliseconds time)
 {
     int number = 0;
     std::vector<std::shared_ptr<plain_client>> callers;
-    auto const until = site.loop.now() + time;
-    while (site.loop.now() < until) {
-        callers.push_back(site.send(
+    auto const until = fixture.loop.now() + time;
+    while (fixture.loop.now() < until) {
+        callers.push_back(fixture.send(
             relay_fixture::request("/view/", "k" + std::to_string(++number))));
-        site.run_for(20ms);
+        fixture.run_for(20ms);
     }
 }
 
 } // namespace
 
-// Requests went to an upstream in need as before, and it got four times what
-// it had said that it takes.
-TEST_CASE("an upstream that names a limit gets no more than that")
+// Guards against an overloaded upstream getting the same load as before: four
+// times the limit that it had stated.
+TEST_CASE("an upstream with a request limit gets no more than that")
 {
-    relay_fixture site;
-    auto& limited = site.add("i-1", "ledger", [](received const&) {
+    relay_fixture fixture;
+    auto& limited = fixture.add("i-1", "ledger", [](received const&) {
         return answer_naming("1.5");
     });
-    auto& sound_one = site.add("i-2", "ledger", [](received const&) {
+    auto& unlimited = fixture.add("i-2", "ledger", [](received const&) {
         return answer_naming("");
     });
-    keep_sending(site, 2s);
-    // Two of the first, and at 1.2 a second from then on.
+    send_for(fixture, 2s);
+    // Two requests at first, then 1.2 per second.
     CHECK(limited.requests.size() <= 5);
-    CHECK(sound_one.requests.size() > 40);
-    CHECK(site.outcomes.size() > 40);
-    for (std::string const& outcome : site.outcomes) {
+    CHECK(unlimited.requests.size() > 40);
+    CHECK(fixture.outcomes.size() > 40);
+    for (std::string const& outcome : fixture.outcomes) {
         CHECK(outcome == "served");
     }
 }
 
-// Left alone for good, an upstream that has recovered would be a server lost.
-TEST_CASE("an upstream gets requests again when it names no limit any more")
+// An upstream that has recovered and never gets requests again is a lost
+// server.
+TEST_CASE("an upstream gets requests again when its limit has ended")
 {
-    relay_fixture site;
+    relay_fixture fixture;
     bool in_need = true;
-    auto& one = site.add("i-1", "ledger", [&in_need](received const&) {
+    auto& one = fixture.add("i-1", "ledger", [&in_need](received const&) {
         return answer_naming(in_need ? "5" : "");
     });
-    site.add("i-2", "ledger", [](received const&) {
+    fixture.add("i-2", "ledger", [](received const&) {
         script busy;
-        busy.rest = sound("done");
-        busy.pause = 200ms;
+        busy.remainder = valid_answer("done");
+        busy.delay = 200ms;
         return busy;
     });
-    keep_sending(site, 600ms);
+    send_for(fixture, 600ms);
     auto const while_limited = one.requests.size();
     CHECK(while_limited <= 5);
     in_need = false;
-    keep_sending(site, 900ms);
+    send_for(fixture, 900ms);
     CHECK(one.requests.size() > while_limited + 10);
 }
 
-// A caller that is told "not run" comes back when there is room.
-TEST_CASE("where all upstreams are limited callers are told when to come back")
+// A caller that is told "not run" retries when there is capacity.
+TEST_CASE("a refusal because all upstreams are limited has Retry-After")
 {
-    relay_fixture site;
-    auto& only = site.add("i-1", "ledger", [](received const&) {
+    relay_fixture fixture;
+    auto& only = fixture.add("i-1", "ledger", [](received const&) {
         return answer_naming("1");
     });
-    auto const first = site.send(relay_fixture::request("/view/", "a1"));
-    REQUIRE(site.run_until([&] {
-        return site.outcomes.size() == 1;
+    auto const first = fixture.send(relay_fixture::request("/view/", "a1"));
+    REQUIRE(fixture.run_until([&] {
+        return fixture.outcomes.size() == 1;
     }));
-    auto const second = site.send(relay_fixture::request("/book/", "a2"));
-    REQUIRE(site.run_until([&] {
-        return !second->got.empty();
+    auto const second = fixture.send(relay_fixture::request("/book/", "a2"));
+    REQUIRE(fixture.run_until([&] {
+        return !second->received_bytes.empty();
     }));
-    CHECK(second->got.find("503") != std::string::npos);
-    CHECK(second->got.find("Retry-After") != std::string::npos);
-    CHECK(site.reports.back().reason == "limited");
-    CHECK(site.reports.back().limited == 1);
+    CHECK(second->received_bytes.find("503") != std::string::npos);
+    CHECK(second->received_bytes.find("Retry-After") != std::string::npos);
+    CHECK(fixture.reports.back().reason == "limited");
+    CHECK(fixture.reports.back().limited == 1);
     CHECK(only.requests.size() == 1);
 }
 
-TEST_CASE("a limit that can't be read changes nothing")
+TEST_CASE("an invalid limit changes nothing")
 {
     CHECK(proxy::parse_request_limit("1.8") == 1.8);
     CHECK(proxy::parse_request_limit("0") == 0.0);
@@ -113,24 +114,24 @@
         CHECK(!proxy::parse_request_limit(bad));
     }
 
-    relay_fixture site;
-    auto& one = site.add("i-1", "ledger", [](received const&) {
+    relay_fixture fixture;
+    auto& one = fixture.add("i-1", "ledger", [](received const&) {
         return answer_naming("many");
     });
-    keep_sending(site, 400ms);
+    send_for(fixture, 400ms);
     CHECK(one.requests.size() > 10);
 }
 
-// A second try is a request too.
-TEST_CASE("a retry keeps to the limit as well")
+// A retry counts as a request too.
+TEST_CASE("a retry respects the limit too")
 {
-    relay_fixture site;
-    auto& limited = site.add("i-1", "ledger", [](received const&) {
+    relay_fixture fixture;
+    auto& limited = fixture.add("i-1", "ledger", [](received const&) {
         return answer_naming("0.5");
     });
-    site.add("i-2", "ledger", [](received const&) {
+    fixture.add("i-2", "ledger", [](received const&) {
         return script{"", false, true};
     });
-    keep_sending(site, 1s);
+    send_for(fixture, 1s);
     CHECK(limited.requests.size() <= 3);
 }
--- a/tests/proxy/scripted_upstream.cpp
+++ b/tests/proxy/scripted_upstream.cpp
@@ -63,11 +63,11 @@
 
 void scripted_upstream::accept(int socket)
 {
-    auto const made = std::make_shared<client>();
-    made->now.connection = ++connections;
-    auto* const raw = made.get();
-    std::weak_ptr<client> const weak = made;
-    made->reader = std::make_unique<proxy::http_reader>(
+    auto const result = std::make_shared<client>();
+    result->now.connection = ++connections;
+    auto* const raw = result.get();
+    std::weak_ptr<client> const weak = result;
+    result->reader = std::make_unique<proxy::http_reader>(
         HTTP_REQUEST,
         proxy::http_reader::hooks{[raw](proxy::message_head&& head) {
                                       raw->now.head = std::move(head);
@@ -79,7 +79,7 @@
                                   [this, weak] {
                                       answer(weak.lock());
                                   }});
-    made->stream = proxy::tcp_stream::adopt(
+    result->stream = proxy::tcp_stream::adopt(
         m_loop,
         socket,
         {nullptr,
@@ -90,40 +90,40 @@
              }
          },
          [this](proxy::connection_end) {
-             ++ended;
+             ++connections_ended;
          },
          nullptr});
-    m_clients.push_back(made);
+    m_clients.push_back(result);
 }
 
 void scripted_upstream::answer(std::shared_ptr<client> const& from)
 {
     requests.push_back(from->now);
     std::string const* const id = from->now.head.find("Attempt-Id");
-    script const play = m_answer(from->now);
-    from->stream->write(with_id(play.answer, id == nullptr ? "" : *id));
-    if (!play.rest.empty()) {
-        write_rest(from, play);
+    script const plan = m_answer(from->now);
+    from->stream->write(with_id(plan.answer, id == nullptr ? "" : *id));
+    if (!plan.remainder.empty()) {
+        write_remainder(from, plan);
     }
-    if (play.closes) {
+    if (plan.closes) {
         from->stream->close_gracefully();
     }
-    if (play.resets) {
+    if (plan.resets) {
         from->stream->reset();
     }
 }
 
-void scripted_upstream::write_rest(std::shared_ptr<client> const& to,
-                                   script const& play)
+void scripted_upstream::write_remainder(std::shared_ptr<client> const& to,
+                                        script const& plan)
 {
-    m_loop.after(play.pause, [this, to, play] {
+    m_loop.after(plan.delay, [this, to, plan] {
         std::size_t const size =
-            play.piece == 0 ? play.rest.size() : play.piece;
-        to->stream->write(play.rest.substr(0, size));
-        if (play.rest.size() > size) {
-            script left = play;
-            left.rest.erase(0, size);
-            write_rest(to, left);
+            plan.piece_bytes == 0 ? plan.remainder.size() : plan.piece_bytes;
+        to->stream->write(plan.remainder.substr(0, size));
+        if (plan.remainder.size() > size) {
+            script left = plan;
+            left.remainder.erase(0, size);
+            write_remainder(to, left);
         }
     });
 }
--- a/tests/proxy/scripted_upstream.hpp
+++ b/tests/proxy/scripted_upstream.hpp
@@ -14,32 +14,32 @@
 
 namespace caperjunction::test {
 
-/// A request as an upstream got it.
+/// A request as received by an upstream.
 struct received
 {
     proxy::message_head head;
     std::string body;
-    /// Counts connections from 1.
+    /// Number of the connection, from 1.
     int connection = 0;
 };
 
-/// What an upstream does with a request.
+/// How an upstream reacts to a request.
 struct script
 {
-    /// Written as it is; `@ID@` stands for the request's id.
+    /// Written unchanged, except that `@ID@` is replaced by the request's id.
     std::string answer;
     bool closes = false;
-    /// Ends the connection so that the other side sees a reset.
+    /// Closes the connection with a reset.
     bool resets = false;
-    /// Written `pause` after the answer.
-    std::string rest;
-    model::milliseconds pause{0};
-    /// Bytes of the rest that are written at a time, with a pause between;
-    /// 0: all.
-    std::size_t piece = 0;
+    /// Written `delay` after the answer.
+    std::string remainder;
+    model::milliseconds delay{0};
+    /// Bytes of the remainder written at a time, with a delay between; 0 for
+    /// all.
+    std::size_t piece_bytes = 0;
 };
 
-/// An upstream on loopback that answers byte by byte as a test says.
+/// An upstream on loopback whose answers are scripted by a test.
 class scripted_upstream
 {
 public:
@@ -51,11 +51,11 @@
 
     model::endpoint at() const;
 
-    /// All requests so far, whole ones only.
+    /// All complete requests so far.
     std::vector<received> requests;
     int connections = 0;
-    /// Connections that the other side has ended.
-    int ended = 0;
+    /// Connections that the peer has closed.
+    int connections_ended = 0;
 
 private:
     struct client
@@ -67,7 +67,7 @@
 
     void accept(int socket);
     void answer(std::shared_ptr<client> const& from);
-    void write_rest(std::shared_ptr<client> const& to, script const& play);
+    void write_remainder(std::shared_ptr<client> const& to, script const& plan);
 
     runtime::event_loop& m_loop;
     std::function<script(received const&)> m_answer;
--- a/tests/proxy/store_reader_test.cpp
+++ b/tests/proxy/store_reader_test.cpp
@@ -27,39 +27,39 @@
 
 std::string const no_events = R"({"events":[],"store_revision":9})";
 
-/// `answer` on a link that is full: it keeps coming, slowly.
+/// Returns `answer` as sent over a saturated link: in pieces, slowly.
 script in_pieces(std::string const& answer,
                  std::size_t pieces,
-                 model::milliseconds pause)
+                 model::milliseconds delay)
 {
     std::size_t const head = answer.find("\r\n\r\n") + 4;
     script slow{answer.substr(0, head)};
-    slow.rest = answer.substr(head);
-    slow.pause = pause;
-    slow.piece = slow.rest.size() / pieces + 1;
+    slow.remainder = answer.substr(head);
+    slow.delay = delay;
+    slow.piece_bytes = slow.remainder.size() / pieces + 1;
     return slow;
 }
 
-/// A reader on a scripted store; what it tells is kept.
-struct reading
+/// A reader on a scripted store; its callbacks are recorded.
+struct reader_fixture
 {
     runtime::event_loop loop;
     std::deque<std::string> answers;
-    std::vector<std::string> asked;
+    std::vector<std::string> targets;
     scripted_upstream store;
     proxy::store_codec codec = platform::store_codec();
     std::size_t slow_pieces = 0;
-    model::milliseconds pause{0};
-    std::vector<std::string> told;
+    model::milliseconds delay{0};
+    std::vector<std::string> events;
     std::optional<model::time_point> confirmed;
     std::uint64_t revision = 0;
     proxy::store_reader reader;
 
-    explicit reading(std::deque<std::string> script_of_store)
+    explicit reader_fixture(std::deque<std::string> script_of_store)
         : answers(std::move(script_of_store))
         , store(loop,
                 [this](received const& request) -> script {
-                    asked.push_back(request.head.target);
+                    targets.push_back(request.head.target);
                     if (answers.empty()) {
                         return {};
                     }
@@ -70,27 +70,27 @@
                     }
                     return slow_pieces == 0
                                ? script{next}
-                               : in_pieces(next, slow_pieces, pause);
+                               : in_pieces(next, slow_pieces, delay);
                 })
         , reader(loop,
                  store.at(),
                  codec,
                  "",
                  {[this](proxy::store_item const& item) {
-                      told.push_back((item.removed ? "-" : "+") + item.key);
+                      events.push_back((item.removed ? "-" : "+") + item.key);
                   },
                   [this](std::vector<std::string> const& keys) {
-                      told.push_back("all " + std::to_string(keys.size()));
+                      events.push_back("all " + std::to_string(keys.size()));
                   },
                   [this](model::time_point as_of, std::uint64_t all_up_to) {
                       confirmed = as_of;
                       revision = all_up_to;
                   },
                   [this](proxy::store_failure const& loss) {
-                      told.push_back("lost " + std::string(loss.reason));
+                      events.push_back("lost " + std::string(loss.reason));
                   },
                   [this] {
-                      told.emplace_back("regained");
+                      events.emplace_back("regained");
                   }})
     {
         reader.start(200ms, [this] {
@@ -98,185 +98,191 @@
         });
     }
 
-    bool run_until_asked(std::size_t times)
+    bool run_until_requested(std::size_t times)
     {
         auto const limit = loop.now() + 5s;
-        while (asked.size() < times && loop.now() < limit) {
+        while (targets.size() < times && loop.now() < limit) {
             loop.run_once();
         }
-        return asked.size() >= times;
+        return targets.size() >= times;
     }
 };
 
 } // namespace
 
-TEST_CASE("a whole read is followed by a watch from its revision")
+TEST_CASE("a complete read is followed by a watch from its revision")
 {
-    reading site({json(one_item), json(no_events)});
-    REQUIRE(site.run_until_asked(3));
-    CHECK(site.told == std::vector<std::string>{"+servers/i-1", "all 1"});
-    CHECK(site.asked[0] == "/kv-range?prefix=");
-    CHECK(site.asked[1].find("after=9") != std::string::npos);
+    reader_fixture fixture({json(one_item), json(no_events)});
+    REQUIRE(fixture.run_until_requested(3));
+    CHECK(fixture.events == std::vector<std::string>{"+servers/i-1", "all 1"});
+    CHECK(fixture.targets[0] == "/kv-range?prefix=");
+    CHECK(fixture.targets[1].find("after=9") != std::string::npos);
 }
 
 TEST_CASE("pages are read one after the other")
 {
-    reading site({json(R"({"items":[{"key":"a","value":"","revision":4}],)"
-                       R"("more_pages":true,"store_revision":9})"),
-                  json(R"({"items":[{"key":"b","value":"","revision":12}],)"
-                       R"("more_pages":false,"store_revision":13})")});
-    REQUIRE(site.run_until_asked(3));
-    CHECK(site.asked[1] == "/kv-range?prefix=&after=a");
-    CHECK(site.told == std::vector<std::string>{"+a", "+b", "all 2"});
-    // What changed while the pages were read must not be missed.
-    CHECK(site.asked[2].find("after=9&") != std::string::npos);
-    CHECK(site.revision == 9);
+    reader_fixture fixture(
+        {json(R"({"items":[{"key":"a","value":"","revision":4}],)"
+              R"("more_pages":true,"store_revision":9})"),
+         json(R"({"items":[{"key":"b","value":"","revision":12}],)"
+              R"("more_pages":false,"store_revision":13})")});
+    REQUIRE(fixture.run_until_requested(3));
+    CHECK(fixture.targets[1] == "/kv-range?prefix=&after=a");
+    CHECK(fixture.events == std::vector<std::string>{"+a", "+b", "all 2"});
+    // Changes made while the pages were read must not be missed.
+    CHECK(fixture.targets[2].find("after=9&") != std::string::npos);
+    CHECK(fixture.revision == 9);
 }
 
-// Hundreds of hosts start at once, and the store refuses what is beyond its
-// rate. A host that began anew after each refusal would read the first pages
-// over and over and never be ready.
-TEST_CASE("a whole read goes on at the page that was refused")
+// Hundreds of hosts start at once, and the store refuses requests beyond its
+// rate. A host that restarted after each refusal would read the first pages
+// over and over and never become ready.
+TEST_CASE("a complete read continues at the page that was refused")
 {
-    reading site({json(R"({"items":[{"key":"a","value":"","revision":4}],)"
-                       R"("more_pages":true,"store_revision":9})"),
-                  json("{}", 429),
-                  json(R"({"items":[{"key":"b","value":"","revision":12}],)"
-                       R"("more_pages":false,"store_revision":13})")});
-    REQUIRE(site.run_until_asked(4));
-    CHECK(site.asked[2] == "/kv-range?prefix=&after=a");
-    CHECK(site.asked[3].find("after=9&") != std::string::npos);
-    CHECK(site.revision == 9);
+    reader_fixture fixture(
+        {json(R"({"items":[{"key":"a","value":"","revision":4}],)"
+              R"("more_pages":true,"store_revision":9})"),
+         json("{}", 429),
+         json(R"({"items":[{"key":"b","value":"","revision":12}],)"
+              R"("more_pages":false,"store_revision":13})")});
+    REQUIRE(fixture.run_until_requested(4));
+    CHECK(fixture.targets[2] == "/kv-range?prefix=&after=a");
+    CHECK(fixture.targets[3].find("after=9&") != std::string::npos);
+    CHECK(fixture.revision == 9);
 }
 
-TEST_CASE("changes and removals are told in order")
+TEST_CASE("changes and removals are reported in order")
 {
-    reading site(
+    reader_fixture fixture(
         {json(one_item),
          json(R"({"events":[{"key":"x","value":"","revision":10},)"
               R"({"key":"servers/i-1","revision":11,"tombstone":true}],)"
               R"("store_revision":11})")});
-    REQUIRE(site.run_until_asked(3));
-    CHECK(site.told
+    REQUIRE(fixture.run_until_requested(3));
+    CHECK(fixture.events
           == std::vector<std::string>{
               "+servers/i-1", "all 1", "+x", "-servers/i-1"});
-    CHECK(site.asked[2].find("after=11") != std::string::npos);
+    CHECK(fixture.targets[2].find("after=11") != std::string::npos);
 }
 
-// The store drops its history while a watch is away. Going on from there
-// would miss the changes between.
-TEST_CASE("a forgotten history leads to a whole read")
+// The store discards its history while no watch is open. Continuing from there
+// would miss the changes in between.
+TEST_CASE("a discarded history triggers a complete read")
 {
-    reading site({json(one_item), json("{}", 410), json(one_item)});
-    REQUIRE(site.run_until_asked(4));
-    CHECK(site.asked[2] == "/kv-range?prefix=");
+    reader_fixture fixture({json(one_item), json("{}", 410), json(one_item)});
+    REQUIRE(fixture.run_until_requested(4));
+    CHECK(fixture.targets[2] == "/kv-range?prefix=");
 }
 
-TEST_CASE("a refusal, a reset and bytes that can't be read are tried again")
+TEST_CASE("a refusal, a reset and invalid bytes are retried")
 {
     for (std::string const& bad :
          {json("", 503), json("", 429), std::string("reset"), json("[")}) {
         CAPTURE(bad);
-        reading site({json(one_item), bad, json(no_events)});
-        REQUIRE(site.run_until_asked(4));
-        REQUIRE(site.told.size() >= 4);
-        CHECK(site.told[2].find("lost") == 0);
-        CHECK(site.told[3] == "regained");
+        reader_fixture fixture({json(one_item), bad, json(no_events)});
+        REQUIRE(fixture.run_until_requested(4));
+        REQUIRE(fixture.events.size() >= 4);
+        CHECK(fixture.events[2].find("lost") == 0);
+        CHECK(fixture.events[3] == "regained");
     }
 }
 
-// The connection to the store goes silent for good, and new ones work. Only
-// a time limit shows it.
-TEST_CASE("a silent store is found out and asked on a new connection")
+// The connection to the store goes silent permanently while new ones work. Only
+// a timeout detects it.
+TEST_CASE("a silent store is detected and queried on a new connection")
 {
-    reading site({json(one_item)});
-    REQUIRE(site.run_until_asked(3));
-    CHECK(site.told.back() == "lost silent");
-    CHECK(site.store.connections == 2);
+    reader_fixture fixture({json(one_item)});
+    REQUIRE(fixture.run_until_requested(3));
+    CHECK(fixture.events.back() == "lost silent");
+    CHECK(fixture.store.connections == 2);
 }
 
-// A watch that returns early with changes was answered at an unknown moment
-// after it was sent; taken for later, a removed key would live too long.
-TEST_CASE("a confirmation is never later than what the store can have seen")
+// A watch that returns early with changes was evaluated at an unknown time
+// after it was sent. If a later time were assumed, a removed key would stay
+// valid too long.
+TEST_CASE("a confirmation is never later than the store's evaluation")
 {
-    reading site({json(one_item),
-                  json(R"({"events":[{"key":"x","value":"","revision":10}],)"
-                       R"("store_revision":10})")});
-    auto const before = site.loop.now();
-    REQUIRE(site.run_until_asked(3));
-    REQUIRE(site.confirmed);
-    CHECK(*site.confirmed >= before);
-    CHECK(*site.confirmed < site.loop.now() - 90ms);
+    reader_fixture fixture(
+        {json(one_item),
+         json(R"({"events":[{"key":"x","value":"","revision":10}],)"
+              R"("store_revision":10})")});
+    auto const before = fixture.loop.now();
+    REQUIRE(fixture.run_until_requested(3));
+    REQUIRE(fixture.confirmed);
+    CHECK(*fixture.confirmed >= before);
+    CHECK(*fixture.confirmed < fixture.loop.now() - 90ms);
 }
 
-// Dropped and asked for anew from its first byte, a configuration of 300 KB
-// never arrives over a full link, and callers get 404 for its routes.
-TEST_CASE("an answer of the store that keeps coming is not given up")
+// If an answer were dropped and requested again from its first byte, a
+// configuration of 300 KB would never arrive over a saturated link, and callers
+// would get 404 for its routes.
+TEST_CASE("a store answer that arrives slowly is not abandoned")
 {
-    reading site({json(one_item), json(no_events)});
-    site.slow_pieces = 8;
-    site.pause = 250ms;
-    REQUIRE(site.run_until_asked(2));
-    CHECK(site.told == std::vector<std::string>{"+servers/i-1", "all 1"});
-    CHECK(site.store.connections == 1);
+    reader_fixture fixture({json(one_item), json(no_events)});
+    fixture.slow_pieces = 8;
+    fixture.delay = 250ms;
+    REQUIRE(fixture.run_until_requested(2));
+    CHECK(fixture.events == std::vector<std::string>{"+servers/i-1", "all 1"});
+    CHECK(fixture.store.connections == 1);
 }
 
-// A store that falls silent midway would otherwise hold up the reader for ever.
-TEST_CASE("an answer of the store that stops midway is given up")
+// Guards against a store that goes silent midway and blocks the reader forever.
+TEST_CASE("a store answer that stalls midway is abandoned")
 {
-    reading site({json(one_item)});
-    site.slow_pieces = 2;
-    site.pause = 900ms;
-    REQUIRE(site.run_until_asked(2));
-    REQUIRE(!site.told.empty());
-    CHECK(site.told.front() == "lost silent");
+    reader_fixture fixture({json(one_item)});
+    fixture.slow_pieces = 2;
+    fixture.delay = 900ms;
+    REQUIRE(fixture.run_until_requested(2));
+    REQUIRE(!fixture.events.empty());
+    CHECK(fixture.events.front() == "lost silent");
 }
 
-TEST_CASE("a reader that rests asks only when told to")
+TEST_CASE("an idle reader polls only on request")
 {
-    reading site({json(one_item), json(no_events), json(no_events)});
-    site.reader.set_watching(false);
-    REQUIRE(site.run_until_asked(1));
+    reader_fixture fixture({json(one_item), json(no_events), json(no_events)});
+    fixture.reader.set_watching(false);
+    REQUIRE(fixture.run_until_requested(1));
     bool over = false;
-    site.loop.after(400ms, [&over] {
+    fixture.loop.after(400ms, [&over] {
         over = true;
     });
     while (!over) {
-        site.loop.run_once();
+        fixture.loop.run_once();
     }
-    CHECK(site.asked.size() == 1);
-    site.reader.poll_once();
-    REQUIRE(site.run_until_asked(2));
-    CHECK(site.asked[1].find("wait_ms=1") != std::string::npos);
+    CHECK(fixture.targets.size() == 1);
+    fixture.reader.poll_once();
+    REQUIRE(fixture.run_until_requested(2));
+    CHECK(fixture.targets[1].find("wait_ms=1") != std::string::npos);
 }
 
-// A host of a large fleet rests and hears from peers that an engine has come
-// and gone. Then it asks the store itself, once. Told of all since its own last
-// call, it would take the engine's first entry for news, not hear of its end
-// before the next call, and send requests to an engine that is gone.
-TEST_CASE("a reader that rested goes on from what peers have told")
+// An idle host of a large fleet learns from peers that an engine was added and
+// removed. It then polls the store itself once. If it asked for everything
+// since its own last request, it would take the engine's first entry for a
+// change, receive the removal only with the next request, and send requests to
+// an engine that is gone.
+TEST_CASE("an idle reader continues from the revision received from peers")
 {
-    reading site({json(one_item), json(no_events), json(no_events)});
-    site.reader.set_watching(false);
-    REQUIRE(site.run_until_asked(1));
+    reader_fixture fixture({json(one_item), json(no_events), json(no_events)});
+    fixture.reader.set_watching(false);
+    REQUIRE(fixture.run_until_requested(1));
     bool over = false;
-    site.loop.after(100ms, [&over] {
+    fixture.loop.after(100ms, [&over] {
         over = true;
     });
     while (!over) {
-        site.loop.run_once();
+        fixture.loop.run_once();
     }
-    site.reader.skip_to(31);
-    site.reader.skip_to(20);
-    site.reader.poll_once();
-    REQUIRE(site.run_until_asked(2));
-    CHECK(site.asked[1].find("after=31&") != std::string::npos);
+    fixture.reader.skip_to(31);
+    fixture.reader.skip_to(20);
+    fixture.reader.poll_once();
+    REQUIRE(fixture.run_until_requested(2));
+    CHECK(fixture.targets[1].find("after=31&") != std::string::npos);
 }
 
-// The store goes away for some seconds. Each of 64 hosts then hears nothing
-// new and asks it for itself; at the pace of those that watch for all these
-// made a thousand calls in eight seconds, all of them in vain.
-TEST_CASE("a reader that others watch for seldom asks a store that is away")
+// The store is unavailable for some seconds. Each of 64 hosts then receives
+// nothing new and polls the store itself. At the retry rate of the watching
+// hosts they made a thousand requests in eight seconds, all of them in vain.
+TEST_CASE("an idle reader rarely polls a store that is unavailable")
 {
     constexpr model::milliseconds outage{3'000};
     auto const asked_in_outage = [outage](bool watches) {
@@ -284,20 +290,20 @@
         for (int number = 0; number < 50; ++number) {
             answers.emplace_back("reset");
         }
-        reading site(answers);
-        site.reader.set_watching(watches);
-        REQUIRE(site.run_until_asked(1));
+        reader_fixture fixture(answers);
+        fixture.reader.set_watching(watches);
+        REQUIRE(fixture.run_until_requested(1));
         bool over = false;
-        site.loop.after(outage, [&over] {
+        fixture.loop.after(outage, [&over] {
             over = true;
         });
-        site.loop.after(50ms, [&site] {
-            site.reader.poll_once();
+        fixture.loop.after(50ms, [&fixture] {
+            fixture.reader.poll_once();
         });
         while (!over) {
-            site.loop.run_once();
+            fixture.loop.run_once();
         }
-        return site.asked.size();
+        return fixture.targets.size();
     };
     CHECK(asked_in_outage(true) >= 8);
     CHECK(asked_in_outage(false) <= 8);
