--- a/tests/fleet/claim_fleet_test.cpp
+++ b/tests/fleet/claim_fleet_test.cpp
@@ -20,8 +20,9 @@
 
 TEST_CASE("a resend to another host while the first copy runs is unknown")
 {
-    // The caller's timeout is shorter than the booking takes. It would be
-    // charged twice if the second host ran it too; "not run" would be false.
+    // The caller's timeout is shorter than the booking takes. If the second
+    // host ran it too, the caller would be charged twice; "not run" would be
+    // false.
     claim_fleet hosts(7);
     hosts.start("host-0");
     REQUIRE(hosts.dispatch("host-0"));
@@ -45,10 +46,10 @@
     CHECK(hosts.last<fleet::claim_mismatch>("host-0") != nullptr);
 }
 
-TEST_CASE("the entry host dies before, during and after the dispatch")
+TEST_CASE("the entry host crashes before, during and after the dispatch")
 {
-    // A host is killed while a booking passes through it; the caller sends it
-    // again elsewhere and must never be charged twice, nor hear "not run".
+    // A host is killed while it serves a booking, and the caller resends it to
+    // another host. It must neither run twice nor be answered "not run".
     claim_fleet hosts(7);
     hosts.start("host-0");
     SUBCASE("before")
@@ -72,10 +73,10 @@
     CHECK(hosts.runs() <= 1);
 }
 
-TEST_CASE("a call that is not dispatched is given back")
+TEST_CASE("the claim of a call that is not dispatched is released")
 {
-    // The upstream refuses before running: the caller is told "not run", and
-    // the resend must run, or a collector loses the slot.
+    // The upstream refuses the call before running it. The caller is answered
+    // "not run", and the resend must run; otherwise the booking is lost.
     claim_fleet hosts(7);
     hosts.start("host-0");
     REQUIRE(hosts.last<fleet::claim_proceed>("host-0") != nullptr);
@@ -86,8 +87,8 @@
 
 TEST_CASE("witnesses restart, one after the other")
 {
-    // Each new process has lost the claims; a majority of such hosts would
-    // find the booking new and run it again.
+    // Each new process has lost its claims. If such hosts had votes, a majority
+    // of them would run the booking again.
     claim_fleet hosts(7);
     CHECK(hosts.book("host-0"));
     for (auto const& name : hosts.witnesses()) {
@@ -101,10 +102,10 @@
     CHECK(hosts.runs() == 1);
 }
 
-TEST_CASE("all hosts die together and start anew")
+TEST_CASE("all hosts crash together and restart")
 {
-    // Nobody remembers what ran. Bookings are answered "unknown" until every
-    // claim of before has lapsed, and run again then.
+    // All claims are lost. Bookings are answered "unknown" until every earlier
+    // claim has expired, and run after that.
     fleet::claim_settings settings;
     settings.view_lease = 20s;
     settings.retention = 30s;
@@ -115,55 +116,56 @@
     for (auto const& name : hosts.names()) {
         hosts.run(name);
     }
-    hosts.pass(settings.maturity - 1s);
+    hosts.advance(settings.maturity - 1s);
     CHECK_FALSE(hosts.book("host-1"));
     CHECK(hosts.last<fleet::claim_unknown>("host-1") != nullptr);
-    hosts.pass(2s);
+    hosts.advance(2s);
     CHECK(hosts.book("host-1"));
     CHECK(hosts.votes() == 5);
 }
 
-TEST_CASE("a fleet split in two parts runs a call in one of them at most")
+TEST_CASE("a partitioned fleet runs a call on at most one side")
 {
-    // A switch fails, both parts keep running and keep their callers. If each
-    // took the other for dead, both would find witnesses of their own.
+    // A switch fails, and both sides keep running and keep their callers. If
+    // each considered the other lost, both would choose their own witnesses.
     claim_fleet hosts(7);
     for (std::size_t cut = 1; cut < 7; ++cut) {
         auto const side = [cut](std::string const& name) {
             return static_cast<std::size_t>(name.back() - '0') < cut;
         };
-        hosts.passes = [side](auto const& from, auto const& to, auto const&) {
-            return side(from) == side(to);
-        };
+        hosts.is_delivered =
+            [side](auto const& from, auto const& to, auto const&) {
+                return side(from) == side(to);
+            };
         int const before = hosts.runs();
         for (auto const& name : hosts.names()) {
             hosts.book(name);
         }
-        hosts.pass(3s);
+        hosts.advance(3s);
         CHECK(hosts.runs() - before <= 1);
-        hosts.passes = [](auto const&, auto const&, auto const&) {
+        hosts.is_delivered = [](auto const&, auto const&, auto const&) {
             return true;
         };
-        hosts.pass(700s);
+        hosts.advance(700s);
     }
     CHECK(hosts.runs() > 0);
 }
 
-TEST_CASE("a host wakes after a long pause with a quorum in hand")
+TEST_CASE("a host with a quorum resumes after a long pause")
 {
-    // The process was stopped after it was told to proceed. Meanwhile the
-    // witnesses forgot the claim and another host ran the call.
+    // The process is stopped after `claim_proceed`. Meanwhile the claim expires
+    // at the witnesses, and another host runs the call.
     claim_fleet hosts(7);
     hosts.start("host-0");
     REQUIRE(hosts.last<fleet::claim_proceed>("host-0") != nullptr);
-    hosts.asleep.insert("host-0");
-    hosts.pass(601s);
+    hosts.paused.insert("host-0");
+    hosts.advance(601s);
     CHECK(hosts.book("host-1"));
-    hosts.asleep.clear();
-    SUBCASE("and dispatches at once")
+    hosts.paused.clear();
+    SUBCASE("and dispatches immediately")
     {
     }
-    SUBCASE("and hears of the list first")
+    SUBCASE("and gets its list confirmed first")
     {
         hosts.confirm("host-0");
     }
@@ -173,47 +175,47 @@
     CHECK(hosts.runs() == 1);
 }
 
-TEST_CASE("a witness that slept gives no vote before its list is confirmed")
+TEST_CASE("a paused witness grants no vote before its list is confirmed")
 {
-    // Its list may be long gone and its vote given to others.
+    // Its list may be outdated and its vote held by another host.
     claim_fleet hosts(7);
     auto const witnesses = hosts.witnesses();
     for (std::size_t index = 0; index < 3; ++index) {
-        hosts.asleep.insert(witnesses[index]);
+        hosts.paused.insert(witnesses[index]);
     }
-    hosts.pass(10s);
-    hosts.asleep.clear();
+    hosts.advance(10s);
+    hosts.paused.clear();
     std::string entry;
     for (auto const& name : hosts.names()) {
-        bool const slept = name == witnesses[0] || name == witnesses[1]
-                           || name == witnesses[2];
-        entry = slept ? entry : name;
+        bool const was_paused = name == witnesses[0] || name == witnesses[1]
+                                || name == witnesses[2];
+        entry = was_paused ? entry : name;
     }
     CHECK_FALSE(hosts.book(entry));
-    hosts.pass(3s);
+    hosts.advance(3s);
     CHECK(hosts.book(entry));
 }
 
 TEST_CASE("every host is replaced, one after the other")
 {
-    // A rolling replacement: each host says that it stops, hands its votes
-    // over, and is taken off the list when a new one has come. Bookings go on
-    // throughout, and those of before are remembered.
+    // Rolling replacement: each host announces its stop, hands its votes over,
+    // and is removed from the list when its replacement is added. The votes and
+    // the claim of the earlier booking must survive every step.
     claim_fleet hosts(7);
     CHECK(hosts.book("host-0"));
     auto names = hosts.listed();
     for (auto const& old : hosts.names()) {
         hosts.stop(old);
         CHECK(hosts.votes() == 5);
-        std::string const fresh = "next-" + old;
+        std::string const replacement = "next-" + old;
         names.erase(old);
-        names.insert(fresh);
+        names.insert(replacement);
         hosts.list(names);
-        hosts.run(fresh);
+        hosts.run(replacement);
         hosts.adopt_all();
         hosts.kill(old);
-        hosts.pass(1s);
-        CHECK_FALSE(hosts.book(fresh));
+        hosts.advance(1s);
+        CHECK_FALSE(hosts.book(replacement));
     }
     CHECK(hosts.votes() == 5);
     CHECK(hosts.runs() == 1);
@@ -221,20 +223,20 @@
 
 TEST_CASE("every host restarts in place, one after the other")
 {
-    // An upgrade: each host stops as planned and starts again under its name,
-    // too fast for the platform's list to tell. Its votes had been handed
-    // over; were they not given back, every booking would find too few
-    // witnesses for hours, though all hosts run.
+    // Upgrade in place: each host stops as planned and restarts under its name
+    // before the platform's list changes. If its handed-over votes were not
+    // returned, every booking would lack a quorum for hours although all hosts
+    // run.
     claim_fleet hosts(7);
     CHECK(hosts.book("host-0"));
     for (auto const& name : hosts.names()) {
         hosts.stop(name);
         hosts.kill(name);
         hosts.run(name);
-        hosts.note_restart(name);
+        hosts.report_restart(name);
         hosts.list(hosts.listed());
         hosts.adopt_all();
-        hosts.pass(1s);
+        hosts.advance(1s);
         CHECK(hosts.votes() == 5);
         CHECK_FALSE(hosts.book(name));
     }
@@ -244,8 +246,8 @@
 
 TEST_CASE("lists lag differently on each host")
 {
-    // Two hosts take places of two others; each host hears of it at another
-    // time, and a caller sends the call to all of them at every step.
+    // Two hosts replace two others. Each host adopts the list at another time,
+    // and a caller sends the call to all of them at every step.
     claim_fleet hosts(9);
     auto names = hosts.listed();
     names.erase("host-7");
@@ -268,56 +270,56 @@
     CHECK(hosts.runs() == 1);
 }
 
-TEST_CASE("a witness that can't hand over loses its vote and no claim runs")
+TEST_CASE("a witness that can't hand over loses its vote")
 {
-    // The stop is cut short: the vote is gone, but never doubled.
+    // The stop is interrupted: the vote is lost but never duplicated.
     claim_fleet hosts(7);
     auto const leaving = hosts.witnesses().front();
-    hosts.passes = [&](auto const& from, auto const&, auto const&) {
+    hosts.is_delivered = [&](auto const& from, auto const&, auto const&) {
         return from != leaving;
     };
     hosts.stop(leaving);
     CHECK(hosts.votes() == 4);
-    hosts.pass(40s);
+    hosts.advance(40s);
     CHECK(hosts.votes() == 4);
     std::string const entry = hosts.witnesses()[1];
     CHECK(hosts.book(entry));
 }
 
-TEST_CASE("a host that hears no list for the lease loses its votes")
+TEST_CASE("a host whose list is unconfirmed for the lease loses its votes")
 {
-    // Cut off from the service and from its peers, it may be off the list;
-    // its votes are given out anew elsewhere.
+    // Cut off from the service and its peers, the host may have been removed
+    // from the list, and its votes are recreated elsewhere.
     fleet::claim_settings settings;
     settings.view_lease = 20s;
     settings.retention = 30s;
     settings.transfer_lease = 2s;
     settings.maturity = settings.min_maturity();
     claim_fleet hosts(7, settings);
-    auto const alone = hosts.witnesses().front();
-    hosts.asleep.insert(alone);
-    hosts.pass(21s);
-    hosts.asleep.clear();
-    hosts.tick(alone);
+    auto const isolated = hosts.witnesses().front();
+    hosts.paused.insert(isolated);
+    hosts.advance(21s);
+    hosts.paused.clear();
+    hosts.tick(isolated);
     CHECK(hosts.votes() == 4);
-    hosts.confirm(alone);
+    hosts.confirm(isolated);
     CHECK(hosts.votes() == 4);
-    hosts.pass(settings.maturity + 1s);
-    CHECK(hosts.book(alone));
+    hosts.advance(settings.maturity + 1s);
+    CHECK(hosts.book(isolated));
     CHECK(hosts.votes() == 5);
 }
 
-TEST_CASE("a release that was lost doesn't block the key for good")
+TEST_CASE("a lost release doesn't block the key")
 {
-    // The call was never dispatched and its caller was told so; the resend
-    // elsewhere finds the witnesses still holding it.
+    // The call was answered "not run", but the witnesses still store its claim
+    // when it is resent to another host.
     claim_fleet hosts(7);
     hosts.start("host-0");
-    hosts.passes = [](auto const&, auto const&, auto const& message) {
+    hosts.is_delivered = [](auto const&, auto const&, auto const& message) {
         return !std::holds_alternative<fleet::claim_release>(message);
     };
     hosts.end("host-0", model::outcome::not_run);
-    hosts.passes = [](auto const&, auto const&, auto const&) {
+    hosts.is_delivered = [](auto const&, auto const&, auto const&) {
         return true;
     };
     CHECK_FALSE(hosts.book("host-1"));
@@ -325,30 +327,30 @@
     CHECK(hosts.book("host-1"));
 }
 
-TEST_CASE("a claim that waited too long is given back by itself")
+TEST_CASE("a claim that waits longer than its lease is released")
 {
     claim_fleet hosts(7);
     hosts.start("host-0");
-    hosts.pass(61s);
+    hosts.advance(61s);
     CHECK(hosts.last<fleet::claim_not_run>("host-0") != nullptr);
     CHECK_FALSE(hosts.dispatch("host-0"));
     CHECK(hosts.book("host-1"));
 }
 
-TEST_CASE("two hosts alone need each other, and one needs none")
+TEST_CASE("two hosts need each other for a quorum, and one needs none")
 {
     claim_fleet pair(2);
     CHECK(pair.book("host-0"));
     pair.kill("host-1");
-    pair.pass(601s);
+    pair.advance(601s);
     CHECK_FALSE(pair.book("host-0"));
     claim_fleet single(1);
     CHECK(single.book("host-0"));
 }
 
-TEST_CASE("a data centre's loss leaves a majority of the votes")
+TEST_CASE("the loss of a data centre leaves a majority of the votes")
 {
-    // Three data centres with three, two and two hosts; any of them goes.
+    // Three data centres with three, two and two hosts; any of them may fail.
     fleet::claim_settings const settings;
     model::hosts hosts;
     hosts.revision = 1;
@@ -364,16 +366,16 @@
         for (auto const& name : view.witnesses(bucket)) {
             ++lost[static_cast<char>((name.back() - '0') % 3)];
         }
-        for (auto const& [centre, count] : lost) {
+        for (auto const& [data_centre, count] : lost) {
             CHECK(count <= 2);
         }
     }
 }
 
-TEST_CASE("a leaving host's vote goes past a successor that is gone")
+TEST_CASE("a leaving host's vote skips a crashed successor")
 {
-    // The next in rank has crashed and the list still names it. A vote that
-    // waited for it would be lost with the leaving host.
+    // The next host in rank has crashed, and the list still contains it. A vote
+    // that waited for it would be lost with the leaving host.
     claim_fleet hosts(7);
     auto const leaving = hosts.witnesses().front();
     auto const staying = hosts.witnesses();
@@ -391,23 +393,23 @@
         hosts.kill(*spare.rbegin());
     }
     hosts.stop(leaving);
-    hosts.pass(5s);
+    hosts.advance(5s);
     CHECK(hosts.votes() == 5);
     hosts.kill(leaving);
     CHECK(hosts.book(staying.back()));
 }
 
-TEST_CASE("hosts stop faster than the list follows")
+TEST_CASE("hosts stop faster than the list is updated")
 {
-    // An operator stops three hosts within seconds of each other; the list
-    // still names all of them, and they choose the same successor, which can
-    // have one vote only. A majority of the votes must be left.
+    // An operator stops three hosts within seconds of each other. The list
+    // still contains all of them, and they choose the same successor, which can
+    // hold only one vote. A majority of the votes must remain.
     claim_fleet hosts(8);
     CHECK(hosts.book("host-0"));
     auto const order = hosts.witnesses();
     for (std::size_t index = 0; index < 3; ++index) {
         hosts.stop(order[index]);
-        hosts.pass(5s);
+        hosts.advance(5s);
         hosts.kill(order[index]);
     }
     CHECK(hosts.votes() >= 3);
@@ -420,6 +422,6 @@
     CHECK(hosts.votes() >= 3);
     CHECK_FALSE(hosts.book(order[3]));
     CHECK(hosts.runs() == 1);
-    hosts.pass(601s);
+    hosts.advance(601s);
     CHECK(hosts.book(order[3]));
 }
--- a/tests/fleet/claim_history_test.cpp
+++ b/tests/fleet/claim_history_test.cpp
@@ -26,7 +26,7 @@
     return settings;
 }
 
-/// One history of faults over seven hosts and three that may join.
+/// One random history of faults with seven hosts and three that may join.
 class history
 {
 public:
@@ -70,13 +70,13 @@
             }
             break;
         case 9:
-            cut(pick(10));
+            partition(pick(10));
             break;
         case 10:
-            m_fleet.pass(std::chrono::seconds(1 + pick(30)));
+            m_fleet.advance(std::chrono::seconds(1 + pick(30)));
             break;
         default:
-            toggle_sleep(host);
+            toggle_pause(host);
             break;
         }
         check_answers();
@@ -96,7 +96,7 @@
 
     void start(std::string const& host)
     {
-        if (m_fleet.asleep.count(host) == 0) {
+        if (m_fleet.paused.count(host) == 0) {
             m_fleet.start(host);
         }
     }
@@ -104,7 +104,7 @@
     void dispatch(std::string const& host)
     {
         if (m_fleet.dispatch(host)) {
-            RC_ASSERT(!ran_lately());
+            RC_ASSERT(!ran_recently());
             m_ran.push_back(m_fleet.now);
             m_dispatched.insert(host);
         }
@@ -128,37 +128,38 @@
         m_fleet.list(names);
     }
 
-    void cut(std::size_t at)
+    void partition(std::size_t at)
     {
-        m_fleet.passes = [at](auto const& from, auto const& to, auto const&) {
-            auto const side = [at](std::string const& name) {
-                return static_cast<std::size_t>(name.back() - '0') < at;
+        m_fleet.is_delivered =
+            [at](auto const& from, auto const& to, auto const&) {
+                auto const side = [at](std::string const& name) {
+                    return static_cast<std::size_t>(name.back() - '0') < at;
+                };
+                return side(from) == side(to);
             };
-            return side(from) == side(to);
-        };
     }
 
-    void toggle_sleep(std::string const& host)
+    void toggle_pause(std::string const& host)
     {
-        if (m_fleet.asleep.erase(host) == 0) {
-            m_fleet.asleep.insert(host);
+        if (m_fleet.paused.erase(host) == 0) {
+            m_fleet.paused.insert(host);
         }
     }
 
-    bool ran_lately() const
+    bool ran_recently() const
     {
-        auto const promise =
+        auto const guaranteed =
             short_settings().retention - short_settings().grant_lease;
-        return !m_ran.empty() && m_fleet.now - m_ran.back() < promise;
+        return !m_ran.empty() && m_fleet.now - m_ran.back() < guaranteed;
     }
 
     void check_answers()
     {
         for (; m_seen < m_fleet.decisions.size(); ++m_seen) {
-            auto const& what = m_fleet.decisions[m_seen].what;
+            auto const& what = m_fleet.decisions[m_seen].decision;
             bool const not_run =
                 std::holds_alternative<fleet::claim_not_run>(what);
-            RC_ASSERT(!not_run || !ran_lately());
+            RC_ASSERT(!not_run || !ran_recently());
         }
     }
 
@@ -172,8 +173,8 @@
 
 TEST_CASE("no history of faults over ten hosts runs a call twice")
 {
-    // Hosts crash, restart, stop, sleep, are cut off and go by lists that
-    // lag, all at random, while a caller sends one booking to all of them.
+    // Hosts crash, restart, stop, pause, are partitioned and use outdated lists
+    // at random, while a caller sends one booking to all of them.
     CHECK(rc::check("at most one run", [] {
         history one;
         auto const steps = *rc::gen::inRange<std::size_t>(1, 150);
--- a/tests/fleet/claim_parts_test.cpp
+++ b/tests/fleet/claim_parts_test.cpp
@@ -24,14 +24,14 @@
 
 } // namespace
 
-TEST_CASE("customer and key are hashed apart")
+TEST_CASE("customer and key are hashed with a separator")
 {
     CHECK_FALSE(fleet::make_claim_key("ab", "c")
                 == fleet::make_claim_key("a", "bc"));
     CHECK(fleet::make_claim_key("a", "b") == fleet::make_claim_key("a", "b"));
 }
 
-TEST_CASE("answers stay within their bytes, the oldest go first")
+TEST_CASE("stored answers are bounded and the oldest are evicted first")
 {
     fleet::claim_answers answers(2'000, 600s);
     for (std::uint64_t number = 0; number < 10; ++number) {
@@ -51,7 +51,7 @@
     CHECK(answers.bytes() == 0);
 }
 
-TEST_CASE("a claim is forgotten at its time, not before")
+TEST_CASE("a claim expires at its expiry time, not before")
 {
     fleet::claim_table memory;
     memory.put({0, 1},
@@ -67,7 +67,7 @@
     CHECK(memory.size() == 0);
 }
 
-TEST_CASE("a name that comes or goes moves only the keys that it ranks first")
+TEST_CASE("removing a name moves only the keys for which it ranks first")
 {
     CHECK(rc::check("rendezvous moves little", [] {
         auto const count = *rc::gen::inRange<std::size_t>(2, 30);
@@ -76,13 +76,13 @@
         for (std::size_t index = 0; index < count; ++index) {
             names.push_back("host-" + std::to_string(index));
         }
-        auto const gone = *rc::gen::inRange<std::size_t>(0, count);
+        auto const removed = *rc::gen::inRange<std::size_t>(0, count);
         auto const before = fleet::rendezvous_owner(names, key);
         auto fewer = names;
-        fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(gone));
+        fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(removed));
         std::reverse(fewer.begin(), fewer.end());
         auto const after = fleet::rendezvous_owner(fewer, key);
-        RC_ASSERT(before == names[gone] || before == after);
+        RC_ASSERT(before == names[removed] || before == after);
         RC_ASSERT(std::find(fewer.begin(), fewer.end(), after) != fewer.end());
     }));
 }
--- a/tests/fleet/claim_settings_test.cpp
+++ b/tests/fleet/claim_settings_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace caperjunction;
 
-TEST_CASE("the default times of claims keep each other's promises")
+TEST_CASE("the default times of claims are consistent")
 {
     fleet::claim_settings const settings;
     CHECK(settings.maturity >= settings.min_maturity());
--- a/tests/fleet/configuration_test.cpp
+++ b/tests/fleet/configuration_test.cpp
@@ -22,9 +22,9 @@
     return fleet.host(name).agent->in_force()[value];
 }
 
-bool everywhere(bench::virtual_fleet& fleet,
-                published_value value,
-                std::uint64_t revision)
+bool in_force_on_all(bench::virtual_fleet& fleet,
+                     published_value value,
+                     std::uint64_t revision)
 {
     return std::all_of(
         seven.begin(), seven.end(), [&](std::string const& name) {
@@ -33,7 +33,7 @@
         });
 }
 
-/// Whether no host ever went back, over all that it put in force.
+/// Returns whether no host ever put a lower revision in force.
 bool never_reverted(bench::virtual_fleet& fleet)
 {
     for (std::string const& name : seven) {
@@ -53,39 +53,41 @@
     auto const fleet = make_seven();
     fleet->publish(published_value::plans, "plans two pair 1");
     fleet->run_for(2s);
-    CHECK(everywhere(*fleet, published_value::plans, fleet->revision()));
+    CHECK(in_force_on_all(*fleet, published_value::plans, fleet->revision()));
 }
 
-TEST_CASE("a list that does not check never comes into force")
+TEST_CASE("an invalid list never comes into force")
 {
-    // An operator publishes a list with a fault in it. The fleet must go on
-    // by the last good one, and tell what to mend.
+    // An operator publishes an invalid list. The fleet must keep the last valid
+    // one and report the fault.
     auto const fleet = make_seven();
     auto const good = in_force(*fleet, "a1", published_value::plans);
     fleet->publish(published_value::plans, "bad plans pair 1");
     fleet->run_for(30s);
-    CHECK(everywhere(*fleet, published_value::plans, good));
+    CHECK(in_force_on_all(*fleet, published_value::plans, good));
     REQUIRE(fleet->host("b2").refused.size() == 1);
     CHECK(fleet->host("b2").refused[0].faults[0].remedy
           == "publish a better one");
     fleet->publish(published_value::plans, "good plans pair 1");
     fleet->run_for(2s);
-    CHECK(everywhere(*fleet, published_value::plans, fleet->revision()));
+    CHECK(in_force_on_all(*fleet, published_value::plans, fleet->revision()));
 }
 
 TEST_CASE("two lists that belong together come into force together")
 {
     // The lists are published one after the other. In between, the new plans
-    // would name models that no entitlement defines.
+    // name models that no entitlement defines.
     auto const fleet = make_seven();
     auto const before = in_force(*fleet, "a1", published_value::plans);
     fleet->publish(published_value::plans, "plans pair 2");
     fleet->run_for(3s);
-    CHECK(everywhere(*fleet, published_value::plans, before));
+    CHECK(in_force_on_all(*fleet, published_value::plans, before));
     fleet->publish(published_value::entitlements, "uses pair 2");
     fleet->run_for(2s);
-    CHECK(everywhere(*fleet, published_value::entitlements, fleet->revision()));
-    CHECK(everywhere(*fleet, published_value::plans, fleet->revision() - 1));
+    CHECK(in_force_on_all(
+        *fleet, published_value::entitlements, fleet->revision()));
+    CHECK(
+        in_force_on_all(*fleet, published_value::plans, fleet->revision() - 1));
     for (std::string const& name : seven) {
         CHECK(fleet->host(name).refused.empty());
     }
@@ -93,20 +95,20 @@
 
 TEST_CASE("one broken list does not hold up the other")
 {
-    // The entitlements are broken for hours. New keys in the list of plans
+    // The entitlements are invalid for hours. New keys in the list of plans
     // must still come into force.
     auto const fleet = make_seven();
     fleet->publish(published_value::entitlements, "bad uses pair 1");
     fleet->run_for(3s);
     fleet->publish(published_value::plans, "plans three pair 1");
     fleet->run_for(3s);
-    CHECK(everywhere(*fleet, published_value::plans, fleet->revision()));
+    CHECK(in_force_on_all(*fleet, published_value::plans, fleet->revision()));
 }
 
-TEST_CASE("a host that starts while the service is down asks its peers")
+TEST_CASE("a host that starts while the service is down reads from its peers")
 {
     // The service is down for an hour, and a host is replaced meanwhile. It
-    // knows some peers from its settings, and must not stay without lists.
+    // knows only its seed peers and must get its lists from them.
     auto const fleet = make_seven();
     fleet->publish(published_value::plans, "plans four pair 1");
     fleet->run_for(5s);
@@ -126,9 +128,9 @@
 
 TEST_CASE("a host that starts with a stale service is not ready with it")
 {
-    // The service answers with lists of last week, while the other hosts
-    // hold today's. A host that took callers by the old ones would refuse
-    // keys that work everywhere else.
+    // The service answers with lists of last week while the other hosts hold
+    // today's. A host that accepted callers with the old ones would refuse keys
+    // that work on all other hosts.
     auto const fleet = make_seven();
     fleet->service().freeze();
     fleet->service().thaw();
@@ -144,10 +146,10 @@
     CHECK(in_force(*fleet, "b3", published_value::plans) == newest);
 }
 
-TEST_CASE("a fleet whose watchers are cut off from each other still reads")
+TEST_CASE("a host that is cut off from all peers still reads the service")
 {
-    // A host is cut off from every peer, but not from the service. It must
-    // notice the silence and read for itself, at a rate that is bounded.
+    // A host is cut off from every peer but not from the service. It must
+    // detect the silence and poll the service itself, at a bounded rate.
     auto const fleet = make_seven();
     for (std::string const& name : seven) {
         if (name != "a1") {
@@ -159,15 +161,15 @@
     fleet->publish(published_value::plans, "plans six pair 1");
     auto const calls = fleet->service().calls;
     fleet->run_for(10s);
-    CHECK(everywhere(*fleet, published_value::plans, fleet->revision()));
+    CHECK(in_force_on_all(*fleet, published_value::plans, fleet->revision()));
     CHECK(fleet->service().calls - calls < 7 * 4 * 10);
 }
 
-TEST_CASE("a change gets in though no watcher reaches the service")
+TEST_CASE("a change is found although no watcher reaches the service")
 {
-    // The routes from just the watching hosts to the service break. Peers go
-    // on talking, so nothing is silent; the fleet would keep its old lists
-    // until someone looks why.
+    // Only the routes from the watchers to the service break. Peers still
+    // exchange messages, so no silence is detected. Without direct reads the
+    // fleet would keep its old lists until an operator intervenes.
     auto const fleet = make_seven();
     for (auto const& waiting : fleet->service().watches()) {
         fleet->service().unreachable_from.insert(waiting.host);
@@ -175,13 +177,13 @@
     REQUIRE(fleet->service().unreachable_from.size() == 4);
     fleet->publish(published_value::plans, "plans seven pair 1");
     fleet->run_for(13s);
-    CHECK(everywhere(*fleet, published_value::plans, fleet->revision()));
+    CHECK(in_force_on_all(*fleet, published_value::plans, fleet->revision()));
 }
 
-TEST_CASE("a service that is down is asked at a bounded rate")
+TEST_CASE("a service that is down is polled at a bounded rate")
 {
-    // Every host of the fleet sees the service fail at once. Were each to
-    // ask again at once, the service could not come back up.
+    // Every host sees the service fail at the same time. Immediate retries
+    // would keep the service from recovering.
     auto const fleet = make_seven();
     fleet->service().set_down(true);
     fleet->run_for(5s);
@@ -191,14 +193,15 @@
     fleet->service().set_down(false);
     fleet->publish(published_value::upstreams, "upstreams 2");
     fleet->run_for(4s);
-    CHECK(everywhere(*fleet, published_value::upstreams, fleet->revision()));
+    CHECK(
+        in_force_on_all(*fleet, published_value::upstreams, fleet->revision()));
 }
 
-TEST_CASE("a stale service is asked at a bounded rate")
+TEST_CASE("a stale service is polled at a bounded rate")
 {
-    // The service answers each watch at once, with a revision lower than the
-    // one that was asked after. Asked again at once, it would be asked as
-    // fast as the network allows.
+    // The service answers each watch immediately with a revision lower than the
+    // watched one. Immediate retries would poll it as fast as the network
+    // allows.
     auto const fleet = make_seven();
     fleet->service().freeze();
     fleet->service().thaw();
@@ -212,11 +215,11 @@
     CHECK(fleet->service().calls - calls < 3'000);
 }
 
-TEST_CASE("a host that starts beside a broken list gets the last good one")
+TEST_CASE("a host that starts with an invalid list gets the last valid one")
 {
-    // The service holds a broken list, and only peers have the one before.
-    // A host that starts now would never be ready, and during a replacement
-    // of all hosts the last good list would be gone for good.
+    // The service holds an invalid list, and only peers have the one before.
+    // Without it a starting host would never be ready, and a replacement of all
+    // hosts would lose the last valid list.
     auto const fleet = make_seven();
     fleet->publish(published_value::plans, "plans nine pair 1");
     fleet->run_for(3s);
@@ -231,10 +234,10 @@
     CHECK(in_force(*fleet, "a3", published_value::plans) == good);
 }
 
-TEST_CASE("a list that once stood in for a broken one never comes back")
+TEST_CASE("a fallback revision never comes back into force")
 {
-    // A host had to fetch revision 3, since 5 was broken. Revision 6 is good
-    // and 7 broken again. Falling back on 3 would honour withdrawn keys.
+    // A host fetches revision 3 because 5 is invalid. Revision 6 is valid, and
+    // 7 is invalid again. Falling back to 3 would accept withdrawn keys.
     fleet::configuration_settings settings;
     settings.host = "a1";
     settings.region = "a";
@@ -263,33 +266,33 @@
     CHECK(values.announcement().in_force[published_value::plans] == 6);
 }
 
-TEST_CASE("splices rebuild any body from any earlier one")
+TEST_CASE("deltas rebuild any body from any earlier one")
 {
-    CHECK(rc::check("splices lead from each revision to the last", [] {
+    CHECK(rc::check("deltas lead from each revision to the last", [] {
         auto const bodies = *rc::gen::nonEmpty<std::vector<std::string>>();
         fleet::delta_chain chain;
         chain.append(1, {}, 1U << 20U);
-        for (std::size_t place = 1; place < bodies.size(); ++place) {
+        for (std::size_t index = 1; index < bodies.size(); ++index) {
             auto const change =
-                fleet::make_delta(bodies[place - 1], bodies[place], place + 1);
-            chain.append(place, {change}, 1U << 20U);
+                fleet::make_delta(bodies[index - 1], bodies[index], index + 1);
+            chain.append(index, {change}, 1U << 20U);
         }
-        for (std::size_t place = 0; place + 1 < bodies.size(); ++place) {
-            auto const deltas = chain.since(place + 1, 1U << 20U);
+        for (std::size_t index = 0; index + 1 < bodies.size(); ++index) {
+            auto const deltas = chain.since(index + 1, 1U << 20U);
             RC_ASSERT(deltas.has_value());
-            std::string body = bodies[place];
+            std::string body = bodies[index];
             RC_ASSERT(fleet::apply_deltas(*deltas, body));
             RC_ASSERT(body == bodies.back());
         }
     }));
 }
 
-TEST_CASE("no history of faults makes a host go back or stay behind")
+TEST_CASE("no history of faults makes a host revert or stay behind")
 {
-    // Lists, good and broken, are published while hosts crash, sleep and
-    // lose each other and the service is down or stale. A host that went
-    // back would honour keys that were withdrawn; one that stayed behind
-    // would refuse a customer that all others serve.
+    // Valid and invalid lists are published while hosts crash, pause and lose
+    // their links, and the service is down or stale. A host that reverted would
+    // accept withdrawn keys; one that stayed behind would refuse a customer
+    // that all others serve.
     CHECK(rc::check("revisions only grow and end equal", [] {
         auto const fleet = make_seven();
         auto const steps = *rc::gen::inRange(1, 14);
@@ -351,8 +354,8 @@
         fleet->run_for(30s);
         RC_ASSERT(never_reverted(*fleet));
         RC_ASSERT(
-            everywhere(*fleet, published_value::plans, fleet->revision()));
-        RC_ASSERT(everywhere(
+            in_force_on_all(*fleet, published_value::plans, fleet->revision()));
+        RC_ASSERT(in_force_on_all(
             *fleet, published_value::entitlements, fleet->revision() - 1));
     }));
 }
--- a/tests/fleet/explorer_test.cpp
+++ b/tests/fleet/explorer_test.cpp
@@ -23,10 +23,10 @@
 
 TEST_CASE("no short history of faults runs a call twice")
 {
-    // Messages are lost, held back and doubled, hosts crash, sleep, stop and
-    // go by different lists, while a caller sends one booking to two hosts.
-    // A client would be charged twice, or be told "not run" for a call that
-    // ran, or never get an answer again.
+    // Messages are lost, delayed and duplicated, and hosts crash, pause, stop
+    // and use different lists, while a caller sends one booking to two hosts. A
+    // fault shows as a call that runs twice, a false "not run", or a booking
+    // that never gets an answer.
     scenario const fixed(all_hosts, 0, ablation::none);
     for (auto const& profile : fault_profiles(false)) {
         CAPTURE(profile.name);
@@ -41,9 +41,9 @@
 
 TEST_CASE("one vote less than a majority runs a call twice")
 {
-    // Two entry hosts each find two of five witnesses, not the same ones, and
-    // both run the booking. A search that doesn't find this would not find a
-    // fault of ours either.
+    // Two entry hosts each get two of five votes, disjoint ones, and both run
+    // the booking. A search that misses this would miss faults of the protocol
+    // too.
     scenario const fixed(all_hosts, -1, ablation::none);
     fault_budget const no_faults{.resends = 0};
     auto limits = short_search();
@@ -56,8 +56,9 @@
 
 TEST_CASE("no short history lets an older orderer follow a newer one")
 {
-    // Two hosts take turns in ordering an engine while one of them sleeps or
-    // hears of the list late. The engine would load an outdated model.
+    // Two hosts alternate as the orderer of an engine while one of them is
+    // paused or gets the list late. A fault makes the engine load an outdated
+    // model.
     for (bool const checks : {true, false}) {
         order_scenario fixed;
         fixed.checks_fencing = checks;
@@ -71,10 +72,10 @@
     }
 }
 
-TEST_CASE("without a quiet time an older order follows a newer one")
+TEST_CASE("without a takeover delay an older order follows a newer one")
 {
     // The engine ignores fencing numbers, and the new orderer doesn't wait
-    // for the one before to notice.
+    // until the previous one has stopped.
     order_scenario fixed;
     fixed.settings.loads_per_minute = 1e6;
     fixed.settings.takeover_delay = fixed.settings.takeover_delay.zero();
--- a/tests/fleet/fleet_fixture.hpp
+++ b/tests/fleet/fleet_fixture.hpp
@@ -12,11 +12,12 @@
 using std::chrono_literals::operator""ms;
 using std::chrono_literals::operator""s;
 
-/// Four hosts in one region, three in another, as each user has today.
+/// Four hosts in one region, three in another: the size of the users' fleets.
 inline std::vector<std::string> const seven{
     "a1", "a2", "a3", "a4", "b1", "b2", "b3"};
 
-/// Seven hosts with a configuration in force, all up for ten seconds.
+/// Creates seven hosts with a configuration in force, all running for ten
+/// seconds.
 inline std::unique_ptr<bench::virtual_fleet>
 make_seven(bench::virtual_fleet_settings settings = {})
 {
@@ -41,7 +42,7 @@
     return view->find(observed)->state;
 }
 
-/// How often a host was told of as lost, by anyone.
+/// Returns how often any host has reported the host as lost.
 inline std::size_t times_lost(bench::virtual_fleet const& fleet,
                               std::string const& name)
 {
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -8,7 +8,7 @@
 using namespace caperjunction;
 using namespace caperjunction::tests;
 
-TEST_CASE("all hosts of a quiet fleet see each other alive")
+TEST_CASE("all hosts of a fleet without faults see each other alive")
 {
     auto const fleet = make_seven();
     fleet->run_for(60s);
@@ -22,8 +22,8 @@
 
 TEST_CASE("a host that crashed is lost for all within four seconds")
 {
-    // A host dies without a word, by a power failure or the kernel's hand.
-    // Requests that are handed over to it would wait for nothing.
+    // A host crashes without notice, by a power failure or the out-of-memory
+    // killer. Requests handed over to it would wait in vain.
     auto const fleet = make_seven();
     fleet->crash("b2");
     fleet->run_for(4s);
@@ -36,9 +36,9 @@
 
 TEST_CASE("a host that can't be reached from one other stays alive")
 {
-    // A broken route lets a1 hear nothing of b1, while all others hear it.
-    // Were b1 taken for dead, a fleet would lose a working host, and with it
-    // its witnesses and orders, for a fault of a single connection.
+    // By a broken route a1 receives nothing from b1, while all others do. If b1
+    // were considered lost, the fleet would lose a working host, with its votes
+    // and orders, because of one failed connection.
     auto const fleet = make_seven();
     fleet->cut("b1", "a1");
     fleet->run_for(60s);
@@ -52,9 +52,10 @@
 
 TEST_CASE("a report is refuted before the next heartbeat is due")
 {
-    // One neighbour doesn't hear a host, and the host itself hears nobody, so
-    // that it can't speak up for itself. Heartbeats come no faster than
-    // reports run out: a neighbour that waits for the next one is too late.
+    // One neighbour receives nothing from a host, and the host itself receives
+    // nothing at all and can't refute the report. The suspicion timeout is
+    // shorter than the heartbeat period: a neighbour that waits for the next
+    // heartbeat refutes too late.
     bench::virtual_fleet_settings settings;
     settings.agent.membership.heartbeat_period = 1'000ms;
     settings.agent.membership.silence_limit = 4'000ms;
@@ -68,26 +69,27 @@
     CHECK(times_lost(*fleet, "b1") == 0);
 }
 
-TEST_CASE("leaving is known to all before a second has passed")
+TEST_CASE("all hosts know of a leaving host within a second")
 {
     // A host is being replaced while the platform's list still shows it as
-    // live. A request handed over to it now would be cut off with it.
+    // live. A request handed over to it now would be interrupted by its stop.
     auto const fleet = make_seven();
     fleet->leave("a3");
     fleet->run_for(500ms);
     for (std::string const& name : seven) {
         CHECK(state_at(*fleet, name, "a3") == fleet::host_state::leaving);
     }
-    // The list lags: it comes again, and still names the host as live.
+    // The list lags: it is published again and still shows the host as live.
     fleet->publish_hosts();
     fleet->run_for(5s);
     CHECK(state_at(*fleet, "b1", "a3") == fleet::host_state::leaving);
 }
 
-TEST_CASE("both parts of a split go on, and find each other again")
+TEST_CASE("both sides of a partition keep running and merge again")
 {
-    // The link between the regions breaks for an hour. Each part must stop
-    // counting on the other, and neither may need a hand when it is mended.
+    // The link between the regions is down for an hour. Each side must consider
+    // the other lost, and both must merge without an operator when it is
+    // restored.
     auto const fleet = make_seven();
     for (std::string const left : {"a1", "a2", "a3", "a4"}) {
         for (std::string const right : {"b1", "b2", "b3"}) {
@@ -106,11 +108,11 @@
     }
 }
 
-TEST_CASE("a host that slept takes no other for dead, and asks first")
+TEST_CASE("a host refreshes its view after a pause and reports no other")
 {
-    // A host is stopped for a minute, as by a frozen virtual machine, and
-    // goes on. Everyone else seems silent to it. Reporting that, or acting
-    // by what it knew, would spread its own fault over the fleet.
+    // A host is paused for a minute, as in a frozen virtual machine, and
+    // resumes. All others seem silent to it. Reporting them, or acting by its
+    // old view, would spread its own fault over the fleet.
     auto const fleet = make_seven();
     fleet->pause("a2");
     fleet->run_for(60s);
@@ -130,10 +132,10 @@
     }
 }
 
-TEST_CASE("a host that was dead before a pause is not alive after it")
+TEST_CASE("a host lost before a pause is not alive after it")
 {
-    // After a pause all clocks start anew, so that nobody is taken for dead
-    // for this host's own sleep. That must not bring back the dead.
+    // After a pause all silence timers are reset, so that no host is considered
+    // lost because of the pause. The reset must not revive a crashed host.
     auto const fleet = make_seven();
     fleet->crash("b3");
     fleet->run_for(10s);
@@ -146,11 +148,11 @@
     }
 }
 
-TEST_CASE("late news of a process that is gone don't hit its successor")
+TEST_CASE("late updates about a previous process don't affect its successor")
 {
-    // A host leaves and starts again under its name while a peer sleeps.
-    // The peer wakes up with the old news of leaving. Without generations
-    // the new process would get no work, though it is ready for it.
+    // A host leaves and restarts under its name while a peer is paused. The
+    // peer resumes with the old "leaving" update. Without generations the new
+    // process would get no work although it is ready.
     auto const fleet = make_seven();
     fleet->pause("b1");
     fleet->leave("a1");
@@ -163,18 +165,18 @@
     for (int step = 0; step < 100; ++step) {
         fleet->run_for(50ms);
         for (std::string const& name : seven) {
-            bool const woken_lately = name == "b1" && step < 20;
-            if (!woken_lately && name != "a1") {
+            bool const resumed_recently = name == "b1" && step < 20;
+            if (!resumed_recently && name != "a1") {
                 CHECK(state_at(*fleet, name, "a1") == fleet::host_state::alive);
             }
         }
     }
 }
 
-TEST_CASE("a host whose clock was set back is still heard")
+TEST_CASE("a host whose clock was set back is not ignored")
 {
     // The wall clock of a replaced host is behind its predecessor's, so its
-    // generation is lower. Ignored as old news, it would never be seen.
+    // generation is lower. Its messages would be ignored as outdated forever.
     fleet::membership_settings settings;
     settings.self.name = "a1";
     settings.generation = 100;
@@ -194,36 +196,37 @@
         out);
     out.clear();
     member.handle(fleet::agent_tick{}, now, out);
-    bool outgrown = false;
+    bool raised_generation = false;
     for (fleet::agent_output const& output : out) {
         auto const* sent = std::get_if<fleet::send_message>(&output);
         if (sent != nullptr) {
             auto const* beat = std::get_if<fleet::heartbeat>(&sent->message);
-            outgrown = outgrown || (beat != nullptr && beat->generation > 500);
+            raised_generation = raised_generation
+                                || (beat != nullptr && beat->generation > 500);
         }
     }
-    CHECK(outgrown);
+    CHECK(raised_generation);
 }
 
 TEST_CASE("no history of broken routes makes a working host lost")
 {
-    // Single directions between hosts break and heal at random, but every
-    // host stays heard by at least three others. Nobody may be given up.
-    CHECK(rc::check("a host that three others hear is never lost", [] {
+    // Single directions between hosts break and heal at random, but at least
+    // three others always receive each host's heartbeats. No host may be lost.
+    CHECK(rc::check("a host that three others receive is never lost", [] {
         auto const fleet = make_seven();
         auto const steps = *rc::gen::inRange(1, 8);
         for (int step = 0; step < steps; ++step) {
             auto const from = *rc::gen::elementOf(seven);
             auto const kept = *rc::gen::inRange<std::size_t>(0, 6);
-            std::size_t place = 0;
+            std::size_t position = 0;
             fleet->heal_all();
             for (std::string const& to : seven) {
-                bool const spared = place >= kept && place < kept + 3;
-                bool const wrapped = place + 6 < kept + 3;
+                bool const spared = position >= kept && position < kept + 3;
+                bool const wrapped = position + 6 < kept + 3;
                 if (to != from && !spared && !wrapped) {
                     fleet->cut(from, to);
                 }
-                place += to != from ? 1 : 0;
+                position += to != from ? 1 : 0;
             }
             fleet->run_for(model::milliseconds(*rc::gen::inRange(1, 20'000)));
         }
@@ -233,11 +236,11 @@
     }));
 }
 
-TEST_CASE("after any history of faults, views become equal and true")
+TEST_CASE("after any history of faults, views converge to the truth")
 {
-    // Hosts crash, start, sleep and lose each other in any order. When that
-    // is over, a view that stays wrong would keep work from a live host, or
-    // send it to a dead one, until somebody restarts the fleet.
+    // Hosts crash, start, pause and lose their links in any order. A view that
+    // stays wrong afterwards would keep work from a live host, or send it to a
+    // crashed one, until an operator restarts the fleet.
     CHECK(rc::check("views converge to the truth", [] {
         auto const fleet = make_seven();
         auto const steps = *rc::gen::inRange(1, 12);
--- a/tests/fleet/order_test.cpp
+++ b/tests/fleet/order_test.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-/// An engine that remembers what it was ordered, as either kind does.
+/// Records the orders it accepts; checks fencing numbers if so configured.
 struct fake_engine
 {
     bool checks_fencing = false;
     fleet::fencing_number highest;
     std::vector<fleet::order> applied;
 
-    fleet::order_end take(fleet::order const& order)
+    fleet::order_end apply(fleet::order const& order)
     {
         if (checks_fencing && order.number < highest) {
             return fleet::order_end::outdated;
@@ -31,7 +31,7 @@
     }
 };
 
-/// One orderer with its clock; others' clocks run alike.
+/// One orderer with its own clock.
 struct host
 {
     host(std::string const& name, std::uint64_t generation)
@@ -49,7 +49,7 @@
         return settings;
     }
 
-    std::vector<fleet::order_decision> tell(fleet::order_event const& event)
+    std::vector<fleet::order_decision> handle(fleet::order_event const& event)
     {
         std::vector<fleet::order_decision> out;
         orderer.handle(event, now, out);
@@ -60,19 +60,19 @@
               std::vector<std::string> names,
               bool checks_fencing)
     {
-        tell(fleet::order_hosts_listed{revision, std::move(names)});
-        tell(fleet::order_engines_listed{{{"engine", checks_fencing, {}}}});
-        tell(fleet::order_hosts_confirmed{now});
+        handle(fleet::order_hosts_listed{revision, std::move(names)});
+        handle(fleet::order_engines_listed{{{"engine", checks_fencing, {}}}});
+        handle(fleet::order_hosts_confirmed{now});
     }
 
-    /// Awake, with a list that stays the newest; returns what was ordered.
-    std::size_t pass(std::chrono::seconds by)
+    /// Advances the time with a confirmed list; returns the number of orders.
+    std::size_t advance(std::chrono::seconds by)
     {
         std::size_t orders = 0;
         for (auto left = by; left > 0s; left -= 1s) {
             now += 1s;
-            tell(fleet::order_hosts_confirmed{now});
-            orders += tell(fleet::order_tick{}).size();
+            handle(fleet::order_hosts_confirmed{now});
+            orders += handle(fleet::order_tick{}).size();
         }
         return orders;
     }
@@ -98,131 +98,133 @@
 
 } // namespace
 
-TEST_CASE("a wish goes to the engine's one orderer, which orders once")
+TEST_CASE("a request goes to the engine's one orderer, which orders once")
 {
     host a("a", 1);
     host b("b", 2);
     a.list(1, {"a", "b"}, true);
     b.list(1, {"a", "b"}, true);
     CHECK(a.orderer.is_owner("engine") != b.orderer.is_owner("engine"));
-    host& mine = a.orderer.is_owner("engine") ? a : b;
+    host& owner = a.orderer.is_owner("engine") ? a : b;
     host& other = a.orderer.is_owner("engine") ? b : a;
-    auto const forwarded = other.tell(request("draft"));
+    auto const forwarded = other.handle(request("draft"));
     REQUIRE(forwarded.size() == 1);
     CHECK(std::get<fleet::order_request_forward>(forwarded[0]).to
-          == (&mine == &a ? "a" : "b"));
-    mine.pass(1s);
-    auto const out = mine.tell(request("draft"));
+          == (&owner == &a ? "a" : "b"));
+    owner.advance(1s);
+    auto const out = owner.handle(request("draft"));
     auto const* order = sent(out);
     REQUIRE(order != nullptr);
-    CHECK(order->number == fleet::fencing_number{1, &mine == &a ? 1U : 2U});
-    CHECK(sent(mine.tell(request("draft"))) == nullptr);
+    CHECK(order->number == fleet::fencing_number{1, &owner == &a ? 1U : 2U});
+    CHECK(sent(owner.handle(request("draft"))) == nullptr);
 }
 
 TEST_CASE("two hosts order an engine that checks fencing numbers")
 {
-    // A host sleeps while it is taken off the list, and wakes with its old
-    // list confirmed by a service that is stale. Without the numbers the
-    // engine would load the old wish over the new one.
+    // A host is paused while it is removed from the list, and resumes with its
+    // old list confirmed by a stale service. Without fencing numbers the engine
+    // would load the older model over the newer one.
     fake_engine engine{true, {}, {}};
     host old("a", 1);
     old.list(1, {"a"}, true);
-    old.pass(1s);
-    old.tell(request("old"));
+    old.advance(1s);
+    old.handle(request("old"));
     host next("b", 2);
     next.list(2, {"b"}, true);
     next.now = old.now;
-    next.pass(1s);
-    auto const out = next.tell(request("new"));
+    next.advance(1s);
+    auto const out = next.handle(request("new"));
     REQUIRE(sent(out) != nullptr);
-    CHECK(engine.take(*sent(out)) == fleet::order_end::done);
+    CHECK(engine.apply(*sent(out)) == fleet::order_end::done);
     fleet::order const late{"engine", "old", {1, 1}};
     REQUIRE(old.orderer.may_send(late, old.now));
-    CHECK(engine.take(late) == fleet::order_end::outdated);
+    CHECK(engine.apply(late) == fleet::order_end::outdated);
     REQUIRE(engine.applied.size() == 1);
     CHECK(engine.applied[0].model == "new");
 }
 
 TEST_CASE("two hosts order an engine that ignores fencing numbers")
 {
-    // The old orderer sleeps with an order in hand until the new one orders.
-    // The engine takes whatever comes last, so the old one must hold back.
+    // The old orderer is paused with a pending order until the new one has sent
+    // its own. The engine applies whatever arrives last, so the old orderer
+    // must not send.
     host old("a", 1);
     old.list(1, {"a"}, false);
-    old.pass(31s);
+    old.advance(31s);
     fleet::order const late{"engine", "old", {1, 1}};
-    REQUIRE(sent(old.tell(request("old"))) != nullptr);
+    REQUIRE(sent(old.handle(request("old"))) != nullptr);
     CHECK(old.orderer.may_send(late, old.now));
 
     host next("b", 2);
     next.now = old.now;
     next.list(2, {"b"}, false);
-    next.tell(request("new"));
+    next.handle(request("new"));
     fleet::order const order{"engine", "new", {2, 2}};
-    CHECK(next.pass(29s) == 0);
+    CHECK(next.advance(29s) == 0);
     CHECK_FALSE(next.orderer.may_send(order, next.now));
-    CHECK(next.pass(1s) == 1);
+    CHECK(next.advance(1s) == 1);
     CHECK(next.orderer.may_send(order, next.now));
 
-    SUBCASE("and wakes")
+    SUBCASE("and resumes")
     {
         old.now += 30s;
         CHECK_FALSE(old.orderer.may_send(late, old.now));
     }
-    SUBCASE("and was awake, but cut off from the list")
+    SUBCASE("and was running, but cut off from the list")
     {
         for (int second = 0; second < 11; ++second) {
             old.now += 1s;
-            old.tell(fleet::order_tick{});
+            old.handle(fleet::order_tick{});
         }
         CHECK_FALSE(old.orderer.may_send(late, old.now));
     }
 }
 
-TEST_CASE("an order that waited while its engine changed hands twice is void")
+TEST_CASE("an order that waited while its engine moved twice is not sent")
 {
-    // The engine's connection was slow; meanwhile another host ordered it,
-    // and it came back. The order that waited is older than that host's.
+    // The engine's connection is slow. Meanwhile the engine moves to another
+    // host and back, and the waiting order is older than that host's.
     host one("a", 1);
     one.list(1, {"a"}, false);
-    one.pass(31s);
-    auto const out = one.tell(request("old"));
+    one.advance(31s);
+    auto const out = one.handle(request("old"));
     REQUIRE(sent(out) != nullptr);
     fleet::order const late = *sent(out);
     one.list(2, {"b"}, false);
     one.list(3, {"a"}, false);
-    one.pass(31s);
+    one.advance(31s);
     CHECK_FALSE(one.orderer.may_send(late, one.now));
 }
 
-TEST_CASE("the quiet time outlasts every order of the orderer before")
+TEST_CASE("the takeover delay outlasts every order of the previous orderer")
 {
     fleet::order_settings const settings;
     CHECK(settings.takeover_delay > settings.lease + settings.delivery_timeout);
 }
 
-TEST_CASE("an engine is not ordered again within the dwell time")
+TEST_CASE("an engine gets no second order within the minimum interval")
 {
-    // Demand that swings between two models would else keep an engine loading
-    // weights and never serving.
+    // Otherwise demand that oscillates between two models would keep an engine
+    // loading weights and never serving.
     host one("a", 1);
     one.list(1, {"a"}, true);
-    one.pass(1s);
-    REQUIRE(sent(one.tell(request("x"))) != nullptr);
-    one.tell(fleet::order_ended{"engine", fleet::order_end::done});
+    one.advance(1s);
+    REQUIRE(sent(one.handle(request("x"))) != nullptr);
+    one.handle(fleet::order_ended{"engine", fleet::order_end::done});
     std::size_t orders = 0;
     for (int second = 0; second < 59; ++second) {
-        orders += one.pass(1s);
-        orders += sent(one.tell(request(second % 2 == 0 ? "y" : "x"))) ? 1 : 0;
+        orders += one.advance(1s);
+        orders +=
+            sent(one.handle(request(second % 2 == 0 ? "y" : "x"))) ? 1 : 0;
     }
     CHECK(orders == 0);
-    CHECK(one.pass(1s) == 1);
+    CHECK(one.advance(1s) == 1);
 }
 
-TEST_CASE("the weights store's rate bounds the orders of all hosts together")
+TEST_CASE("the weights store's rate limits the orders of all hosts together")
 {
-    // Every engine wants another model at once. Each load beyond the rate
-    // makes all loads slower.
+    // Every engine is requested to load another model at the same time. Each
+    // load above the rate slows all loads down.
     fleet::order_settings settings;
     settings.host = "a";
     settings.generation = 1;
@@ -251,21 +253,21 @@
     CHECK(out.size() <= 60);
 }
 
-TEST_CASE("a stopping host and a host that slept order nothing")
+TEST_CASE("a stopping host and a host after a pause send no orders")
 {
     host one("a", 1);
     one.list(1, {"a"}, true);
-    one.pass(1s);
+    one.advance(1s);
     SUBCASE("stopping")
     {
-        one.tell(fleet::order_stop_planned{});
-        CHECK(sent(one.tell(request("draft"))) == nullptr);
+        one.handle(fleet::order_stop_planned{});
+        CHECK(sent(one.handle(request("draft"))) == nullptr);
     }
-    SUBCASE("slept")
+    SUBCASE("after a pause")
     {
         one.now += 60s;
-        CHECK(sent(one.tell(request("draft"))) == nullptr);
-        one.tell(fleet::order_hosts_confirmed{one.now});
-        CHECK(sent(one.tell(fleet::order_tick{})) != nullptr);
+        CHECK(sent(one.handle(request("draft"))) == nullptr);
+        one.handle(fleet::order_hosts_confirmed{one.now});
+        CHECK(sent(one.handle(fleet::order_tick{})) != nullptr);
     }
 }
--- a/tests/fleet/worth_test.cpp
+++ b/tests/fleet/worth_test.cpp
@@ -32,13 +32,13 @@
 
 } // namespace
 
-TEST_CASE("without the generation check a leaving host is held for live")
+TEST_CASE("without the generation check a leaving host is considered live")
 {
-    // A frozen process was replaced under its name and goes on. Its
-    // heartbeats say that the host takes work, while the successor is about
-    // to stop: whatever is handed over to it then is cut off.
-    // The next heartbeat, half a second later at most, mends a late word, so
-    // it takes some trials until one is seen.
+    // A frozen process was replaced under its name and resumes. Its heartbeats
+    // announce that the host accepts work while the successor is about to stop:
+    // requests handed over to it then are interrupted. The next heartbeat, at
+    // most half a second later, corrects a late message, so that it takes some
+    // trials to observe one.
     bench::bench_options options = few();
     options.trials = 10;
     std::vector<figure> figures;
@@ -62,7 +62,7 @@
     CHECK(value_of(figures, lost, "no refutation") >= 1.0);
 }
 
-TEST_CASE("without the refresh a host that slept acts by its old view")
+TEST_CASE("without the refresh a host acts by its old view after a pause")
 {
     std::vector<figure> figures;
     bench::measure_wake(7, true, few(), figures);
@@ -72,10 +72,10 @@
     CHECK(value_of(figures, acts, "no refresh") > 1.0);
 }
 
-TEST_CASE("control traffic keeps within five kilobytes a second a host")
+TEST_CASE("control traffic stays within five kilobytes per second per host")
 {
-    // The link between regions is narrow and paid by volume. Control traffic
-    // that grows with the lists or the fleet would take it from answers.
+    // The link between regions is narrow and billed by volume. Control traffic
+    // that grows with the lists or the fleet would displace answers.
     bench::bench_options options = few();
     options.teams = 530;
     options.changes_per_second = 0.7;
