--- a/tests/fleet/claim_fleet_test.cpp
+++ b/tests/fleet/claim_fleet_test.cpp
@@ -352,7 +352,7 @@
 {
     // Three data centres with three, two and two hosts; any of them may fail.
     fleet::claim_settings const settings;
-    model::hosts hosts;
+    model::host_list hosts;
     hosts.revision = 1;
     for (int index = 0; index < 7; ++index) {
         model::host host;
