--- a/src/proxy/exchange.hpp
+++ b/src/proxy/exchange.hpp
@@ -70,10 +70,10 @@
     bool is_still_admitted();
     void send_to(routing::pick const& chosen);
     void arm_silence_timer(routing::pick const& chosen);
-    void attempt_ended(routing::try_end result);
+    void attempt_ended(routing::attempt_end result);
     bool is_upstream_silent() const;
-    bool can_retry(routing::try_end result);
-    bool acquire_retry(routing::try_end result);
+    bool can_retry(routing::attempt_end result);
+    bool acquire_retry(routing::attempt_end result);
     void release_connection();
     model::milliseconds time_left() const;
     std::uint32_t rank() const;
@@ -131,7 +131,7 @@
     routing::pick m_pick;
     model::time_point m_sent_at{};
     std::uint64_t m_pending_prefill_tokens = 0;
-    routing::pace_meter::ticket m_performance_ticket = 0;
+    routing::performance_meter::ticket m_performance_ticket = 0;
     bool m_is_load_counted = false;
     message_head m_answer;
     std::string m_answer_body;
@@ -139,7 +139,7 @@
     bool m_is_stream = false;
 
     // State over all attempts.
-    routing::try_state m_state;
+    routing::attempt_state m_state;
     std::vector<std::string> m_attempted;
     bool m_may_have_run = false;
     std::uint64_t m_fingerprint = 0;
--- a/src/proxy/exchange_answer.cpp
+++ b/src/proxy/exchange_answer.cpp
@@ -8,7 +8,7 @@
 namespace caperjunction::proxy {
 namespace {
 
-using routing::try_end;
+using routing::attempt_end;
 
 constexpr int misdirected = 421;
 constexpr int first_failure = 500;
@@ -62,7 +62,7 @@
     record_limit(m_context, *m_upstream, head);
     if (says_not_run) {
         m_upstream->health.record_failure(m_context.loop.now());
-        attempt_ended(try_end::not_run);
+        attempt_ended(attempt_end::not_run);
         return;
     }
     bool const is_ours = has_own_request_id(head)
@@ -70,7 +70,7 @@
                          && head.find("Content-Encoding") == nullptr;
     if (is_success(head) && !is_ours) {
         m_upstream->health.record_failure(m_context.loop.now());
-        attempt_ended(try_end::broken);
+        attempt_ended(attempt_end::broken);
         return;
     }
     bool const is_failure = head.status >= first_failure;
@@ -78,8 +78,8 @@
         m_upstream->health.record_failure(m_context.loop.now());
         // If no retry is possible, the upstream's answer is more useful to the
         // caller than a generated one.
-        if (m_has_begun || can_retry(try_end::failed)) {
-            attempt_ended(try_end::failed);
+        if (m_has_begun || can_retry(attempt_end::failed)) {
+            attempt_ended(attempt_end::failed);
             return;
         }
     }
@@ -99,12 +99,12 @@
     auto const wait =
         std::chrono::duration_cast<model::milliseconds>(now - m_sent_at);
     m_report.upstream_wait = wait;
-    m_upstream->own_pace.end(m_performance_ticket, now);
+    m_upstream->own_performance.end(m_performance_ticket, now);
     if (m_report.first_byte.count() < 0) {
         m_report.first_byte =
             std::chrono::duration_cast<model::milliseconds>(now - m_arrived);
     }
-    m_upstream->own.unread_tokens -= m_pending_prefill_tokens;
+    m_upstream->own.pending_prefill_tokens -= m_pending_prefill_tokens;
     m_pending_prefill_tokens = 0;
 }
 
@@ -145,18 +145,19 @@
     if (m_ended) {
         return;
     }
-    m_upstream->heard_at = m_context.loop.now();
+    m_upstream->received_at = m_context.loop.now();
     if (m_is_stream) {
         std::uint64_t const before = m_framer.events();
         std::string_view const complete = m_framer.feed(bytes);
         if (m_framer.events() > before) {
             m_events += m_framer.events() - before;
-            auto const gap = m_event_gaps.record(m_upstream->heard_at);
+            auto const gap = m_event_gaps.record(m_upstream->received_at);
             // The gap before the first event of a resumed attempt includes time
             // spent at the previous upstream, so it is not attributed to this
             // one.
             if (gap && before > 0) {
-                m_upstream->own_pace.note_pause(*gap, m_upstream->heard_at);
+                m_upstream->own_performance.record_gap(*gap,
+                                                       m_upstream->received_at);
             }
         }
         if (!m_framer.last_id().empty()) {
@@ -234,8 +235,8 @@
             m_context.suspects.record_crash(fingerprint(), now);
         }
     }
-    attempt_ended(fault == answer_fault::unreachable ? try_end::unreachable
-                                                     : try_end::broken);
+    attempt_ended(fault == answer_fault::unreachable ? attempt_end::unreachable
+                                                     : attempt_end::broken);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/exchange_place.cpp
+++ b/src/proxy/exchange_place.cpp
@@ -13,7 +13,7 @@
     request.prompt = &m_metadata.prompt;
     request.service = m_service;
     request.body_bytes = m_body.size();
-    request.tried = &m_attempted;
+    request.attempted = &m_attempted;
 
     request.is_most_urgent = m_is_most_urgent;
     request.urgent_streams = m_context.fleet_urgent_streams(m_service);
@@ -55,12 +55,12 @@
 
 bool exchange::is_quarantined()
 {
-    if (m_context.suspects.is_empty() && m_context.peers.counts_no_crash()) {
+    if (m_context.suspects.is_empty() && m_context.peers.has_no_crashes()) {
         return false;
     }
     return m_context.suspects.crashes_of(fingerprint(), m_context.loop.now())
                + m_context.peers.crashes_of(fingerprint())
-           >= routing::crash_suspects::most_crashes;
+           >= routing::crash_suspects::max_crashes;
 }
 
 std::optional<model::milliseconds> exchange::overload_retry_after() const
@@ -68,12 +68,12 @@
     if (m_metadata.prompt.tokens == 0) {
         return std::nullopt;
     }
-    routing::overload_facts facts;
-    facts.forecast = m_pick.forecast;
-    facts.target = m_route->latency_target;
-    facts.is_most_urgent = m_is_most_urgent;
-    facts.is_least_urgent = m_is_least_urgent;
-    return routing::comes_back_after(facts);
+    routing::overload_inputs inputs;
+    inputs.forecast = m_pick.forecast;
+    inputs.target = m_route->latency_target;
+    inputs.is_most_urgent = m_is_most_urgent;
+    inputs.is_least_urgent = m_is_least_urgent;
+    return routing::overload_retry_after(inputs);
 }
 
 void exchange::place()
@@ -110,7 +110,7 @@
         refuse(reason_code::no_upstream);
         return;
     }
-    refuse(reason_code::limited, m_pick.comes_back);
+    refuse(reason_code::limited, m_pick.retry_after);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/exchange_report.hpp
+++ b/src/proxy/exchange_report.hpp
@@ -2,7 +2,7 @@
 #define CAPERJUNCTION_PROXY_EXCHANGE_REPORT_HPP
 
 #include "model/time.hpp"
-#include "routing/upstream_pace.hpp"
+#include "routing/upstream_performance.hpp"
 
 #include <cstdint>
 #include <string>
@@ -47,11 +47,11 @@
     std::size_t limited = 0;
     /// Values of the last pick.
     model::milliseconds forecast{0};
-    std::uint32_t cold_tokens = 0;
+    std::uint32_t uncached_tokens = 0;
     std::uint32_t running = 0;
-    std::uint64_t unread_tokens = 0;
-    routing::upstream_pace pace;
-    std::size_t lane = 0;
+    std::uint64_t pending_prefill_tokens = 0;
+    routing::upstream_performance performance;
+    std::size_t reserved_engines = 0;
     std::size_t candidates = 0;
     /// Time from arrival to the first byte; negative if there was none.
     model::milliseconds first_byte{-1};
--- a/src/proxy/exchange_send.cpp
+++ b/src/proxy/exchange_send.cpp
@@ -8,7 +8,7 @@
 namespace caperjunction::proxy {
 namespace {
 
-using routing::try_end;
+using routing::attempt_end;
 
 /// A non-streaming attempt without an answer after this many latency targets is
 /// retried elsewhere. It is already late, and an upstream that dropped the
@@ -43,7 +43,7 @@
 void exchange::send_to(routing::pick const& chosen)
 {
     m_upstream = chosen.to;
-    m_attempted.push_back(m_upstream->about.id);
+    m_attempted.push_back(m_upstream->description.id);
     m_connection = m_context.pool.acquire(m_upstream);
     m_sent_at = m_context.loop.now();
     m_pending_prefill_tokens =
@@ -51,13 +51,13 @@
         - std::min(m_metadata.prompt.tokens,
                    m_metadata.prompt.shared_tokens()
                        - std::min(m_metadata.prompt.shared_tokens(),
-                                  chosen.cold_tokens));
+                                  chosen.uncached_tokens));
     m_upstream->limit.record_send(m_sent_at);
     m_upstream->own.running += 1;
     m_upstream->own.urgent += m_is_most_urgent ? 1 : 0;
     m_performance_ticket =
-        m_upstream->own_pace.begin(m_sent_at, chosen.usual_forecast);
-    m_upstream->own.unread_tokens += m_pending_prefill_tokens;
+        m_upstream->own_performance.begin(m_sent_at, chosen.nominal_forecast);
+    m_upstream->own.pending_prefill_tokens += m_pending_prefill_tokens;
     m_context.urgent_streams[m_service] += m_is_most_urgent ? 1 : 0;
     m_is_load_counted = true;
     m_answer = {};
@@ -66,7 +66,7 @@
     m_is_stream = false;
 
     upstream_request added;
-    added.instance = m_upstream->about.id;
+    added.instance = m_upstream->description.id;
     added.team = m_team;
     added.time_left = std::max(time_left(), model::milliseconds{1});
     added.rank = m_rank;
@@ -110,10 +110,10 @@
         if (!self || self->m_ended || self->m_report.first_byte.count() >= 0) {
             return;
         }
-        if (self->is_upstream_silent() && self->can_retry(try_end::silent)
+        if (self->is_upstream_silent() && self->can_retry(attempt_end::silent)
             && self->is_still_admitted() && self->has_alternative()) {
             self->m_upstream->health.record_failure(self->m_context.loop.now());
-            self->attempt_ended(try_end::silent);
+            self->attempt_ended(attempt_end::silent);
             return;
         }
         self->arm_silence_timer(self->m_pick);
@@ -128,8 +128,8 @@
         m_context.urgent_streams[m_service] -= m_is_most_urgent ? 1 : 0;
         m_upstream->own.running -= 1;
         m_upstream->own.urgent -= m_is_most_urgent ? 1 : 0;
-        m_upstream->own_pace.drop(m_performance_ticket);
-        m_upstream->own.unread_tokens -= m_pending_prefill_tokens;
+        m_upstream->own_performance.drop(m_performance_ticket);
+        m_upstream->own.pending_prefill_tokens -= m_pending_prefill_tokens;
         m_pending_prefill_tokens = 0;
     }
     if (auto const connection = std::exchange(m_connection, nullptr)) {
@@ -146,35 +146,35 @@
 bool exchange::is_upstream_silent() const
 {
     return m_route->kind != routing::request_kind::stream
-           || m_context.loop.now() - m_upstream->heard_at
+           || m_context.loop.now() - m_upstream->received_at
                   > m_route->latency_target;
 }
 
-bool exchange::can_retry(try_end result)
+bool exchange::can_retry(attempt_end result)
 {
-    routing::try_state after = m_state;
+    routing::attempt_state after = m_state;
     ++after.sent;
-    return routing::may_try_again(*m_route, result, after)
-           && m_context.allowance(m_service).left() >= 1.0;
+    return routing::may_retry(*m_route, result, after)
+           && m_context.allowance(m_service).available() >= 1.0;
 }
 
-bool exchange::acquire_retry(try_end result)
+bool exchange::acquire_retry(attempt_end result)
 {
-    if (!routing::may_try_again(*m_route, result, m_state)) {
+    if (!routing::may_retry(*m_route, result, m_state)) {
         return false;
     }
     // An attempt that reached no upstream does not count as a retry.
-    return m_state.sent == 0 || m_context.allowance(m_service).try_take();
+    return m_state.sent == 0 || m_context.allowance(m_service).try_acquire();
 }
 
-void exchange::attempt_ended(try_end result)
+void exchange::attempt_ended(attempt_end result)
 {
     bool const had_run = m_may_have_run;
-    if (result == try_end::unreachable) {
+    if (result == attempt_end::unreachable) {
         ++m_state.unreached;
     }
     release_connection();
-    if (result == try_end::unreachable || result == try_end::not_run) {
+    if (result == attempt_end::unreachable || result == attempt_end::not_run) {
         m_may_have_run = had_run;
     }
     m_state.has_begun = m_has_begun;
@@ -196,8 +196,8 @@
         end("cut", false);
         return;
     }
-    refuse(result == try_end::not_run ? reason_code::upstream_full
-                                      : reason_code::upstream_failed);
+    refuse(result == attempt_end::not_run ? reason_code::upstream_full
+                                          : reason_code::upstream_failed);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/limit_notices.cpp
+++ b/src/proxy/limit_notices.cpp
@@ -17,11 +17,11 @@
            routing::upstream_state& state,
            routing::limit_notice const& notice)
 {
-    bool const is_change = state.limit.note(notice);
+    bool const is_change = state.limit.update(notice);
     if (state.limit.is_limited()) {
-        state.limit.share(context.peers.place_for(
-            routing::upstream_load_key(state.about.id),
-            state.away == routing::distance::same_data_centre));
+        state.limit.set_share(context.peers.limit_share_for(
+            routing::upstream_load_key(state.description.id),
+            state.network_distance == routing::distance::same_data_centre));
     }
     if (is_change && context.on_limit_changed) {
         context.on_limit_changed(state);
@@ -77,28 +77,27 @@
 void apply_advertised_limits(relay_context& context)
 {
     context.directory.each([&context](routing::upstream_state& state) {
-        auto const advertised =
-            context.peers.limit_of(routing::upstream_load_key(state.about.id));
+        auto const advertised = context.peers.limit_of(
+            routing::upstream_load_key(state.description.id));
         if (advertised || state.limit.is_limited()) {
             apply(context, state, advertised.value_or(routing::limit_notice{}));
         }
     });
 }
 
-std::vector<routing::told_limit>
+std::vector<routing::advertised_limit>
 limits_to_advertise(relay_context const& context)
 {
-    std::vector<routing::told_limit> list;
+    std::vector<routing::advertised_limit> list;
     auto const now = context.loop.now();
     context.directory.each([&](routing::upstream_state const& state) {
         routing::limit_notice const& own = state.own_limit;
-        auto const age =
-            std::chrono::duration_cast<model::milliseconds>(now - own.heard_at);
-        bool const was_received = own.heard_at != model::time_point{};
-        if (was_received && age < advertised_for
-            && list.size() < max_advertised) {
-            list.push_back({routing::upstream_load_key(state.about.id),
-                            own.a_second,
+        auto const age = std::chrono::duration_cast<model::milliseconds>(
+            now - own.received_at);
+        bool const is_set = own.received_at != model::time_point{};
+        if (is_set && age < advertised_for && list.size() < max_advertised) {
+            list.push_back({routing::upstream_load_key(state.description.id),
+                            own.requests_per_second,
                             age});
         }
     });
--- a/src/proxy/limit_notices.hpp
+++ b/src/proxy/limit_notices.hpp
@@ -26,7 +26,7 @@
 
 /// Returns the limits that this host received from upstreams itself, to
 /// advertise to other hosts.
-std::vector<routing::told_limit>
+std::vector<routing::advertised_limit>
 limits_to_advertise(relay_context const& context);
 
 } // namespace caperjunction::proxy
--- a/src/proxy/peer_gossip.cpp
+++ b/src/proxy/peer_gossip.cpp
@@ -87,14 +87,17 @@
     routing::peer_digest& digest = frame.digest;
     digest.generation = m_generation;
     digest.sequence = ++m_sequence;
-    digest.known = m_context.known;
+    digest.revisions = m_context.known;
     digest.data_centre = m_context.settings.data_centre;
     auto const now = m_context.loop.now();
     m_context.directory.each([&](routing::upstream_state const& state) {
-        routing::upstream_pace const pace = state.own_pace.pace(now);
-        if (state.own.running > 0 || pace.voters > 0) {
+        routing::upstream_performance const performance =
+            state.own_performance.performance(now);
+        if (state.own.running > 0 || performance.observers > 0) {
             digest.loads.push_back(
-                {routing::upstream_load_key(state.about.id), state.own, pace});
+                {routing::upstream_load_key(state.description.id),
+                 state.own,
+                 performance});
         }
     });
     for (auto const& [service, count] : m_context.urgent_streams) {
@@ -105,7 +108,7 @@
     }
     digest.limits = limits_to_advertise(m_context);
     digest.suspects =
-        m_context.suspects.to_tell(max_suspects, m_context.loop.now());
+        m_context.suspects.suspects_to_send(max_suspects, m_context.loop.now());
     frame.stamp = m_context.boot_now();
     if (auto const as_of = m_context.keys.as_of()) {
         frame.confirmed_age =
@@ -118,12 +121,13 @@
 void peer_gossip::broadcast_change()
 {
     // If all hosts watch the store themselves, they need no notification.
-    if (m_context.peers.alive() < routing::peer_table::least_to_share) {
+    if (m_context.peers.alive()
+        < routing::peer_table::min_peers_of_large_fleet) {
         return;
     }
     m_context.loop.cancel(m_change_timer);
     m_change_timer = m_context.loop.after(model::milliseconds{0}, [this] {
-        send_to_all(m_context.peers.audience_of_change(
+        send_to_all(m_context.peers.recipients_of_change(
                         m_context.loop.now(), m_context.known, m_random()),
                     own_frame());
     });
@@ -135,31 +139,32 @@
     auto const now = m_context.loop.now();
     peers.forget_silent(now);
     digest_frame const frame = own_frame();
-    bool const has_change = m_load_changes.is_news(frame.digest.loads, now);
-    auto const recipients = peers.audience(now, m_context.known, has_change);
+    bool const has_change =
+        m_load_changes.has_significant_change(frame.digest.loads, now);
+    auto const recipients = peers.recipients(now, m_context.known, has_change);
     if (has_change) {
-        m_load_changes.told(frame.digest.loads, now);
+        m_load_changes.record_advertised(frame.digest.loads, now);
     }
     send_to_all(recipients, frame);
     apply_loads();
-    model::milliseconds const load_period{
-        static_cast<std::int64_t>(1'000.0 * static_cast<double>(peers.nearby())
-                                  / max_datagrams_per_second)};
+    model::milliseconds const load_period{static_cast<std::int64_t>(
+        1'000.0 * static_cast<double>(peers.near_count())
+        / max_datagrams_per_second)};
     m_timer = m_context.loop.after(std::max(min_period, load_period), [this] {
         send_digests();
     });
 }
 
 void peer_gossip::send_to_all(
-    std::vector<routing::peer_table::listener> const& recipients,
+    std::vector<routing::peer_table::recipient> const& recipients,
     digest_frame frame)
 {
-    routing::fleet_news const digests =
-        m_context.peers.news(std::move(frame.digest));
+    routing::digest_set const digests =
+        m_context.peers.make_digests(std::move(frame.digest));
     for (auto const& to : recipients) {
-        frame.digest = digests.of(to.what);
-        frame.digest.asks = to.asks;
-        if (to.wants_names) {
+        frame.digest = digests.of(to.kind);
+        frame.digest.requests_reply = to.requests_reply;
+        if (to.wants_neighbours) {
             frame.digest.neighbours = m_context.peers.neighbours_for(
                 to.at, max_neighbours_sent, m_random());
         }
@@ -224,12 +229,12 @@
     // its confirmation. That moment is therefore no earlier than the stamp plus
     // `echo_held`.
     if (frame->echoed && frame->confirmed_age && *frame->echoed <= now) {
-        frame->digest.confirmed =
+        frame->digest.confirmed_at =
             *frame->echoed + frame->echo_held - *frame->confirmed_age;
     }
     apply_confirmation(frame->digest, now);
-    m_context.peers.hear(from, frame->digest, m_context.loop.now());
-    routing::store_revisions const& received = frame->digest.known;
+    m_context.peers.record_digest(from, frame->digest, m_context.loop.now());
+    routing::store_revisions const& received = frame->digest.revisions;
     bool const knows_more =
         received.upstreams > m_context.known.upstreams
         || received.configuration > m_context.known.configuration;
@@ -242,23 +247,23 @@
                                      model::time_point now)
 {
     routing::store_revisions& known = m_context.known;
-    if (!known.covers_configuration(received.known)) {
+    if (!known.covers_configuration(received.revisions)) {
         return;
     }
-    known.checked = std::max(known.checked, received.known.checked);
-    if (received.confirmed) {
-        m_context.keys.confirm(std::min(*received.confirmed, now));
+    known.checked = std::max(known.checked, received.revisions.checked);
+    if (received.confirmed_at) {
+        m_context.keys.renew(std::min(*received.confirmed_at, now));
     }
 }
 
 void peer_gossip::apply_loads()
 {
-    m_context.peers.add_up();
+    m_context.peers.aggregate();
     m_context.directory.each([this](routing::upstream_state& state) {
-        auto const received =
-            m_context.peers.load_of(routing::upstream_load_key(state.about.id));
+        auto const received = m_context.peers.load_of(
+            routing::upstream_load_key(state.description.id));
         state.others = received.load;
-        state.others_pace = received.pace;
+        state.others_performance = received.performance;
     });
     apply_advertised_limits(m_context);
     if (m_alive != m_context.peers.alive()) {
--- a/tests/proxy/relay_close_test.cpp
+++ b/tests/proxy/relay_close_test.cpp
@@ -43,7 +43,7 @@
 TEST_CASE("a request that arrives during the close stays unread")
 {
     relay_fixture fixture;
-    auto lists = fixture.context.table->lists();
+    auto lists = fixture.context.table->config();
     lists.limits.idle_timeout = 50ms;
     fixture.context.table = std::make_shared<routing::route_table const>(lists);
     auto const ends = make_socket_pair();
@@ -64,7 +64,7 @@
     REQUIRE(fixture.run_until([&caller] {
         return caller->received_bytes.find("done") != std::string::npos;
     }));
-    auto lists = fixture.context.table->lists();
+    auto lists = fixture.context.table->config();
     lists.limits.idle_timeout = 1ms;
     fixture.context.table = std::make_shared<routing::route_table const>(lists);
     fixture.run_for(400ms);
@@ -176,7 +176,7 @@
 {
     relay_fixture fixture;
     fixture.add("i-1", "ledger", answer_done);
-    auto lists = fixture.context.table->lists();
+    auto lists = fixture.context.table->config();
     lists.limits.idle_timeout = 100ms;
     lists.limits.header_timeout = 100ms;
     fixture.context.table = std::make_shared<routing::route_table const>(lists);
--- a/tests/proxy/relay_faults_test.cpp
+++ b/tests/proxy/relay_faults_test.cpp
@@ -319,7 +319,7 @@
     REQUIRE(fixture.run_until([&] {
         return old_one.requests.size() == 1;
     }));
-    auto lists = fixture.context.table->lists();
+    auto lists = fixture.context.table->config();
     lists.version = 2;
     lists.routes[0].split = {{"fresh", 1}};
     fixture.context.table = std::make_shared<routing::route_table const>(lists);
--- a/tests/proxy/relay_unsent_test.cpp
+++ b/tests/proxy/relay_unsent_test.cpp
@@ -74,7 +74,7 @@
     fixture.add("i-1", "ledger", [](received const&) -> script {
         return {valid_answer(std::string(size, 'x'))};
     });
-    auto lists = fixture.context.table->lists();
+    auto lists = fixture.context.table->config();
     lists.routes[1].timeout = 10s;
     fixture.context.table = std::make_shared<routing::route_table const>(lists);
     auto const caller = fixture.connect();
@@ -117,7 +117,7 @@
 TEST_CASE("the idle timeout doesn't end an answer that is still being read")
 {
     relay_fixture fixture;
-    auto lists = fixture.context.table->lists();
+    auto lists = fixture.context.table->config();
     lists.limits.idle_timeout = 500ms;
     fixture.context.table = std::make_shared<routing::route_table const>(lists);
     auto const ends = make_socket_pair();
