--- a/src/model/endpoint.hpp
+++ b/src/model/endpoint.hpp
@@ -6,7 +6,7 @@
 
 namespace caperjunction::model {
 
-/// A numeric IP address and a port; no names are resolved anywhere.
+/// Numeric IP address and port. Host names are never resolved.
 struct endpoint
 {
     std::string address;
--- a/src/model/engine.hpp
+++ b/src/model/engine.hpp
@@ -9,7 +9,7 @@
 
 namespace caperjunction::model {
 
-/// What an engine is set up to do.
+/// Phase of inference that an engine is configured for.
 enum class engine_role : std::uint8_t
 {
     mixed,
@@ -17,7 +17,7 @@
     decode,
 };
 
-/// One upstream that runs models, as the platform lists it.
+/// Upstream that serves models, as published by the platform.
 struct engine
 {
     std::string name;
@@ -26,9 +26,9 @@
     endpoint address;
     std::vector<std::string> models;
     engine_role role = engine_role::mixed;
-    /// Requests that it decodes side by side; 0 if it doesn't say.
+    /// Maximum number of concurrently decoded requests; 0 if unknown.
     std::uint32_t slots = 0;
-    /// Whether it refuses an order that carries an old fencing number.
+    /// The engine rejects orders with an outdated fencing number.
     bool checks_fencing = false;
     bool leaving = false;
 
--- a/src/model/error.hpp
+++ b/src/model/error.hpp
@@ -8,7 +8,7 @@
 
 namespace caperjunction::model {
 
-/// Kinds of failure that a caller or an operator can act on.
+/// Error categories that a caller or an operator can act on.
 enum class error_kind : std::uint8_t
 {
     bad_settings,
@@ -25,12 +25,12 @@
     timed_out,
 };
 
-/// Stable name of a kind, for JSON errors, logs and metric labels.
+/// Returns the stable name used in JSON errors, logs and metric labels.
 std::string_view to_string(error_kind kind);
 
-/// A failure whose message says what is wrong and `remedy` what to do.
+/// Error whose message states the cause and whose `remedy` states the fix.
 ///
-/// \pre remedy is not empty: an error that nobody can act on is not typed.
+/// \pre remedy is not empty. Failures without a remedy use other types.
 class error : public std::runtime_error
 {
 public:
--- a/src/model/host.hpp
+++ b/src/model/host.hpp
@@ -8,17 +8,17 @@
 
 namespace caperjunction::model {
 
-/// One process of the router, as the platform's list and peers name it.
+/// Router process, as described by the platform's host list and by peers.
 struct host
 {
     std::string name;
     std::string region;
     std::string data_centre;
-    /// Where callers reach it.
+    /// Endpoint for caller traffic.
     endpoint callers;
-    /// Where its peers reach it.
+    /// Endpoint for connections from other hosts.
     endpoint peers;
-    /// Set by the platform or by the host itself before a planned stop.
+    /// Set by the platform or by the host itself before a planned shutdown.
     bool leaving = false;
 
     friend bool operator==(host const&, host const&) = default;
--- a/src/model/host_list.hpp
+++ b/src/model/host_list.hpp
@@ -8,7 +8,8 @@
 
 namespace caperjunction::model {
 
-/// The platform's list of live and leaving hosts; it lags behind the truth.
+/// Live and leaving hosts as published by the platform. The list lags behind
+/// the actual state of the fleet.
 struct host_list
 {
     std::uint64_t revision = 0;
--- a/src/model/limits.hpp
+++ b/src/model/limits.hpp
@@ -4,24 +4,25 @@
 #include <cstddef>
 #include <cstdint>
 
-/// Every compile-time limit and capacity of the project, in one place.
+/// Compile-time limits and capacities of the project.
 namespace caperjunction::model::limits {
 
-/// Requests one host holds in queue before it refuses the lowest tier.
+/// Queued requests per host. Beyond this limit the lowest tier is refused.
 inline constexpr std::size_t max_queued_requests = 100'000;
-/// Messages a task's mailbox holds before the sender is told to wait.
+/// Messages in a task's mailbox. Beyond it `post` fails and
+/// `post_or_wait` blocks.
 inline constexpr std::size_t mailbox_capacity = 65'536;
-/// Bytes of a caller's request body.
+/// Size of a caller's request body.
 inline constexpr std::size_t max_body_bytes = std::size_t{8} * 1024 * 1024;
-/// Bytes of a caller's request headers.
+/// Size of a caller's request headers.
 inline constexpr std::size_t max_header_bytes = std::size_t{16} * 1024;
-/// Bytes of one published list (the platform's own bound on a value).
+/// Size of one published list; equals the platform's limit for one value.
 inline constexpr std::size_t max_list_bytes = std::size_t{1024} * 1024;
-/// Service tiers that the lists may name.
+/// Number of service tiers that the list of plans may define.
 inline constexpr std::size_t max_tiers = 16;
-/// Characters of any name in the lists; names become metric labels.
+/// Length of a name in the lists. Names are used as metric labels.
 inline constexpr std::size_t max_name_length = 64;
-/// Characters of an Idempotency-Key.
+/// Length of an Idempotency-Key header.
 inline constexpr std::size_t max_idempotency_key_length = 255;
 
 } // namespace caperjunction::model::limits
--- a/src/model/outcome.hpp
+++ b/src/model/outcome.hpp
@@ -6,19 +6,19 @@
 
 namespace caperjunction::model {
 
-/// What a caller is told of whether its request ran.
+/// Execution status of a request, as reported to its caller.
 enum class outcome : std::uint8_t
 {
-    /// The whole answer was relayed.
+    /// The complete answer was relayed.
     ran,
-    /// No byte of it was handed to an upstream, or the upstream refused it
-    /// before running. Said only when that is certain.
+    /// No byte of the request was sent to an upstream, or the upstream
+    /// refused it before execution. Reported only if this is certain.
     not_run,
-    /// It may have run, wholly or in part.
+    /// The request may have run, completely or in part.
     unknown,
 };
 
-/// The value of the `caperjunction-outcome` header.
+/// Returns the value of the `caperjunction-outcome` header.
 constexpr std::string_view to_string(outcome value)
 {
     switch (value) {
--- a/src/model/request_id.hpp
+++ b/src/model/request_id.hpp
@@ -6,8 +6,8 @@
 
 namespace caperjunction::model {
 
-/// Names one request within the fleet: host generation in the high bits, a
-/// counter in the low ones, so that no two hosts give out the same.
+/// Identifies a request within the fleet. The high bits hold the generation of
+/// the host and the low bits a counter, so that ids of two hosts never collide.
 struct request_id
 {
     std::uint64_t value = 0;
--- a/src/model/service.hpp
+++ b/src/model/service.hpp
@@ -8,7 +8,7 @@
 
 namespace caperjunction::model {
 
-/// One instance of a plain service, as the platform lists it.
+/// Instance of a plain (non-model) service, as published by the platform.
 struct service_instance
 {
     std::string service;
--- a/src/model/time.hpp
+++ b/src/model/time.hpp
@@ -5,13 +5,13 @@
 
 namespace caperjunction::model {
 
-/// A point on the runtime's clock; tests pause and advance that clock.
+/// Time point of the runtime clock, which tests can pause and advance.
 using time_point = std::chrono::steady_clock::time_point;
 
-/// The resolution of all settings and messages that hold a time.
+/// Resolution of all durations in settings and messages.
 using milliseconds = std::chrono::milliseconds;
 
-/// Elapsed time as a real number of seconds, for rates and sums.
+/// Elapsed seconds as a floating-point number, for rates and sums.
 using seconds = std::chrono::duration<double>;
 
 } // namespace caperjunction::model
--- a/src/model/upstream_list.hpp
+++ b/src/model/upstream_list.hpp
@@ -9,7 +9,7 @@
 
 namespace caperjunction::model {
 
-/// All upstreams that the platform publishes, under one revision.
+/// All upstreams that the platform publishes under one revision.
 struct upstream_list
 {
     std::uint64_t revision = 0;
--- a/src/runtime/clock.hpp
+++ b/src/runtime/clock.hpp
@@ -8,7 +8,7 @@
 
 namespace caperjunction::runtime {
 
-/// Where all time comes from; a test puts a function of its own here.
+/// Source of all time points. Tests replace `now` with their own function.
 struct clock
 {
     std::function<model::time_point()> now = [] {
--- a/src/runtime/event_loop.cpp
+++ b/src/runtime/event_loop.cpp
@@ -11,20 +11,22 @@
 namespace caperjunction::runtime {
 namespace {
 
-event_base* make_base()
+event_base* create_event_base()
 {
-    // Wake-ups come from other threads, so libevent has to lock.
-    static bool const s_locks = evthread_use_pthreads() == 0;
+    // `wake` and `stop` activate events from other threads, which requires
+    // libevent's locking.
+    static bool const s_threads_enabled = evthread_use_pthreads() == 0;
     event_config* const config = event_config_new();
-    // A socket that is watched and let go within one turn costs nothing.
+    // Batches epoll updates: a socket that is added and removed within one
+    // iteration costs no system call.
     event_config_set_flag(config, EVENT_BASE_FLAG_EPOLL_USE_CHANGELIST);
     event_base* const base =
-        s_locks ? event_base_new_with_config(config) : nullptr;
+        s_threads_enabled ? event_base_new_with_config(config) : nullptr;
     event_config_free(config);
     if (base == nullptr) {
         throw model::error(model::error_kind::unavailable,
-                           "no event loop could be made",
-                           "raise the limit of open files (ulimit -n)");
+                           "cannot create an event loop",
+                           "raise the limit on open files (ulimit -n)");
     }
     return base;
 }
@@ -33,21 +35,22 @@
 
 event_loop::event_loop(runtime::clock clock)
     : m_clock(std::move(clock))
-    , m_base(make_base())
+    , m_base(create_event_base())
     , m_wake(event_new(m_base, -1, EV_PERSIST, handle_wake, this))
     , m_timer(event_new(m_base, -1, 0, handle_timer, this))
 {
-    // Without a time limit of its own, this event keeps the loop alive and
-    // fires only when another thread activates it.
+    // A persistent event without a timeout keeps the loop running. It fires
+    // only when `wake` activates it.
     event_add(m_wake, nullptr);
 }
 
 event_loop::~event_loop()
 {
-    // What timers hold may cancel others, or watch sockets of this loop.
-    decltype(m_timers) left;
-    left.swap(m_timers);
-    left.clear();
+    // Objects captured by timer callbacks may cancel other timers or remove
+    // sockets from this loop when they are destroyed.
+    decltype(m_timers) remaining;
+    remaining.swap(m_timers);
+    remaining.clear();
     event_free(m_wake);
     event_free(m_timer);
     event_base_free(m_base);
@@ -73,58 +76,60 @@
 {
     timer_handle const handle{++m_last_timer, due, period.count() > 0};
     m_timers.emplace(due, timer{handle.value, period, std::move(run)});
-    arm();
+    arm_timer();
     return handle;
 }
 
 void event_loop::cancel(timer_handle handle)
 {
-    auto const is_it = [handle](auto const& entry) {
+    auto const has_id = [handle](auto const& entry) {
         return entry.second.id == handle.value;
     };
     auto const [first, last] = m_timers.equal_range(handle.due);
-    auto found = std::find_if(first, last, is_it);
+    auto found = std::find_if(first, last, has_id);
     if (found == last) {
         if (!handle.is_periodic) {
             return;
         }
-        // A periodic timer that has fired stands at another time by now.
-        found = std::find_if(m_timers.begin(), m_timers.end(), is_it);
+        // A periodic timer that has fired is stored under a later time than
+        // the one in its handle.
+        found = std::find_if(m_timers.begin(), m_timers.end(), has_id);
     }
     if (found != m_timers.end()) {
         m_timers.erase(found);
     }
 }
 
-void event_loop::arm()
+void event_loop::arm_timer()
 {
     if (m_timers.empty()) {
         return;
     }
     auto const wait = std::max(m_timers.begin()->first - now(),
                                model::time_point::duration{0});
-    auto const micros =
+    auto const wait_us =
         std::chrono::duration_cast<std::chrono::microseconds>(wait);
-    constexpr std::int64_t micros_per_second = 1'000'000;
-    timeval const limit{micros.count() / micros_per_second,
-                        micros.count() % micros_per_second};
-    event_add(m_timer, &limit);
+    constexpr std::int64_t us_per_second = 1'000'000;
+    timeval const timeout{wait_us.count() / us_per_second,
+                          wait_us.count() % us_per_second};
+    event_add(m_timer, &timeout);
 }
 
-void event_loop::run_due()
+void event_loop::run_expired_timers()
 {
-    model::time_point const due_by = now();
-    while (!m_timers.empty() && m_timers.begin()->first <= due_by) {
+    model::time_point const current_time = now();
+    while (!m_timers.empty() && m_timers.begin()->first <= current_time) {
         timer due = std::move(m_timers.begin()->second);
         m_timers.erase(m_timers.begin());
         if (due.period.count() > 0) {
-            // Added again before it runs, so that it can cancel itself; from
-            // now on, so that a paused process doesn't catch up in a burst.
-            m_timers.emplace(due_by + due.period, due);
+            // Added again before it runs, so that it can cancel itself. The
+            // next period starts now, so that a process that was suspended
+            // does not run all missed periods in a burst.
+            m_timers.emplace(current_time + due.period, due);
         }
         due.run();
     }
-    arm();
+    arm_timer();
 }
 
 void event_loop::wake()
@@ -134,7 +139,7 @@
 
 void event_loop::run()
 {
-    arm();
+    arm_timer();
     while (!m_stopping.load()) {
         event_base_loop(m_base, EVLOOP_ONCE);
     }
@@ -142,7 +147,7 @@
 
 void event_loop::run_once()
 {
-    arm();
+    arm_timer();
     event_base_loop(m_base, EVLOOP_ONCE);
 }
 
@@ -155,20 +160,20 @@
 void event_loop::poll()
 {
     event_base_loop(m_base, EVLOOP_NONBLOCK);
-    run_due();
+    run_expired_timers();
 }
 
 void event_loop::handle_wake(int /*socket*/, short /*what*/, void* self)
 {
-    auto& own = *static_cast<event_loop*>(self);
-    if (own.m_on_wake) {
-        own.m_on_wake();
+    auto& loop = *static_cast<event_loop*>(self);
+    if (loop.m_on_wake) {
+        loop.m_on_wake();
     }
 }
 
 void event_loop::handle_timer(int /*socket*/, short /*what*/, void* self)
 {
-    static_cast<event_loop*>(self)->run_due();
+    static_cast<event_loop*>(self)->run_expired_timers();
 }
 
 } // namespace caperjunction::runtime
--- a/src/runtime/event_loop.hpp
+++ b/src/runtime/event_loop.hpp
@@ -15,20 +15,22 @@
 
 namespace caperjunction::runtime {
 
-/// Names a timer of one event loop; the default names none.
+/// Handle of a timer of one event loop. A default-constructed handle refers to
+/// no timer.
 struct timer_handle
 {
     std::uint64_t value = 0;
-    /// Where the loop keeps it: finding it by its time costs little where
-    /// thousands of requests have a timer each.
+    /// Expiry time, the key under which the loop stores the timer. Lookup by
+    /// this key stays cheap with thousands of timers, one per request.
     model::time_point due{};
     bool is_periodic = false;
 };
 
-/// One libevent loop with timers that follow the runtime's clock.
+/// libevent loop with timers that use the runtime clock.
 ///
-/// Thread safety: `wake` and `stop` may be called from any thread, all else
-/// only by the thread that runs the loop (or before it runs).
+/// Thread safety: `wake` and `stop` may be called from any thread. All other
+/// members may be called only by the thread that runs the loop, or before the
+/// loop runs.
 class event_loop
 {
 public:
@@ -54,19 +56,19 @@
         return m_clock;
     }
 
-    /// Calls `run` once, `delay` from now.
+    /// Calls `run` once after `delay`.
     timer_handle after(model::milliseconds delay, action run);
 
-    /// Calls `run` every `period`; a late call is not made up for.
+    /// Calls `run` every `period`. Missed periods are skipped.
     timer_handle every(model::milliseconds period, action run);
 
-    /// Calls `run` when what is running now has returned: for freeing what
-    /// the caller itself stands in.
+    /// Calls `run` after the current handler has returned. Lets a handler
+    /// destroy the object that it is a member of.
     void defer(action run);
 
     void cancel(timer_handle timer);
 
-    /// Called by the loop after `wake`.
+    /// Sets the function that the loop calls after `wake`.
     void set_wake_handler(action run)
     {
         m_on_wake = std::move(run);
@@ -78,11 +80,11 @@
     void run();
     void stop();
 
-    /// Waits for something to happen and handles it.
+    /// Waits for at least one event and handles all that are ready.
     void run_once();
 
-    /// Handles what is ready and the timers that are due, without waiting:
-    /// for tests that advance the clock.
+    /// Handles ready events and expired timers without blocking. For tests
+    /// that advance the clock.
     void poll();
 
 private:
@@ -95,8 +97,8 @@
 
     timer_handle
     add(model::time_point due, model::milliseconds period, action run);
-    void run_due();
-    void arm();
+    void run_expired_timers();
+    void arm_timer();
 
     static void handle_wake(int, short, void* self);
     static void handle_timer(int, short, void* self);
--- a/src/runtime/log_line.cpp
+++ b/src/runtime/log_line.cpp
@@ -10,8 +10,8 @@
 namespace caperjunction::runtime {
 namespace {
 
-// One call of the C library writes the whole line, which keeps lines of
-// several threads apart.
+// One call of the C library writes the complete line, so that lines of
+// different threads do not interleave.
 void write_to_standard_error(std::string_view line)
 {
     fmt::print(stderr, "{}\n", line);
@@ -19,7 +19,7 @@
 
 std::function<void(std::string_view)> s_sink = write_to_standard_error;
 
-bool is_plain(char c)
+bool is_unquoted(char c)
 {
     return c > ' ' && c < 0x7f && c != '"' && c != '=' && c != '\\';
 }
@@ -27,7 +27,7 @@
 bool needs_quotes(std::string_view value)
 {
     for (char const c : value) {
-        if (!is_plain(c)) {
+        if (!is_unquoted(c)) {
             return true;
         }
     }
@@ -51,13 +51,13 @@
 std::string timestamp()
 {
     auto const now = std::chrono::system_clock::now();
-    auto const millis = std::chrono::duration_cast<std::chrono::milliseconds>(
-                            now.time_since_epoch())
-                            .count()
-                        % 1000;
+    auto const ms = std::chrono::duration_cast<std::chrono::milliseconds>(
+                        now.time_since_epoch())
+                        .count()
+                    % 1000;
     return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z",
                        fmt::gmtime(std::chrono::system_clock::to_time_t(now)),
-                       millis);
+                       ms);
 }
 
 } // namespace
--- a/src/runtime/log_line.hpp
+++ b/src/runtime/log_line.hpp
@@ -9,16 +9,18 @@
 
 namespace caperjunction::runtime {
 
-/// Where finished lines go; standard error unless a test says otherwise.
+/// Sets the function that receives each log line; by default lines are written
+/// to standard error.
 ///
-/// \pre Set before any task starts.
+/// \pre No task has been started.
 void set_log_sink(std::function<void(std::string_view line)> sink);
 
-/// One event as one line of key=value pairs, written when it goes out of
-/// scope. Values are quoted and escaped, so that nothing that a caller sends
-/// can begin a line or a pair of its own.
+/// Formats one event as a line of key=value pairs and writes it in the
+/// destructor. Values are quoted and escaped, so that text sent by a caller
+/// cannot inject a line or a pair.
 ///
-/// Thread safety: a line belongs to one thread; lines don't mix.
+/// Thread safety: an object is used by one thread. Lines of different threads
+/// do not interleave.
 class log_line
 {
 public:
--- a/src/runtime/log_output.cpp
+++ b/src/runtime/log_output.cpp
@@ -11,12 +11,12 @@
 namespace caperjunction::runtime {
 namespace {
 
-/// Gathered before a write: a pipe takes as much at once or says that it is
-/// not ready (PIPE_BUF), so that the write never waits.
-constexpr std::size_t write_bytes = 4'096;
-/// Some seconds of a busy host's lines.
-constexpr std::size_t most_held = 262'144;
-/// How late a line may come out.
+/// Size of one write; equals PIPE_BUF on Linux. poll() reports a pipe as
+/// writable only if a write of this size does not block.
+constexpr std::size_t max_write_bytes = 4'096;
+/// Holds the lines of a busy host for some seconds.
+constexpr std::size_t max_buffered_bytes = 262'144;
+/// Maximum delay of a line.
 constexpr model::milliseconds flush_period{200};
 
 } // namespace
@@ -39,13 +39,13 @@
 
 void log_output::write(std::string_view line)
 {
-    if (m_held.size() + line.size() > most_held) {
+    if (m_buffer.size() + line.size() > max_buffered_bytes) {
         ++m_dropped;
         return;
     }
-    m_held.append(line);
-    m_held.push_back('\n');
-    if (m_held.size() >= write_bytes) {
+    m_buffer.append(line);
+    m_buffer.push_back('\n');
+    if (m_buffer.size() >= max_write_bytes) {
         flush();
     } else if (!m_timer_set) {
         m_timer_set = true;
@@ -58,26 +58,27 @@
 
 void log_output::flush()
 {
-    std::size_t done = 0;
-    while (done < m_held.size()) {
+    std::size_t flushed = 0;
+    while (flushed < m_buffer.size()) {
         pollfd ready{m_descriptor, POLLOUT, 0};
         if (poll(&ready, 1, 0) != 1 || (ready.revents & POLLOUT) == 0) {
             break;
         }
-        ssize_t const took =
+        ssize_t const written =
             ::write(m_descriptor,
-                    m_held.data() + done,
-                    std::min(write_bytes, m_held.size() - done));
-        if (took <= 0) {
+                    m_buffer.data() + flushed,
+                    std::min(max_write_bytes, m_buffer.size() - flushed));
+        if (written <= 0) {
             break;
         }
-        done += static_cast<std::size_t>(took);
+        flushed += static_cast<std::size_t>(written);
     }
-    m_held.erase(0, done);
-    if (m_dropped > m_dropped_told && m_held.size() < most_held / 2) {
-        m_held += fmt::format("event=log_dropped lines={}\n",
-                              m_dropped - m_dropped_told);
-        m_dropped_told = m_dropped;
+    m_buffer.erase(0, flushed);
+    if (m_dropped > m_dropped_reported
+        && m_buffer.size() < max_buffered_bytes / 2) {
+        m_buffer += fmt::format("event=log_dropped lines={}\n",
+                                m_dropped - m_dropped_reported);
+        m_dropped_reported = m_dropped;
     }
 }
 
--- a/src/runtime/log_output.hpp
+++ b/src/runtime/log_output.hpp
@@ -10,18 +10,18 @@
 
 namespace caperjunction::runtime {
 
-/// Writes log lines to a descriptor without ever waiting for its reader.
+/// Writes log lines to a file descriptor without blocking.
 ///
-/// A terminal or a collector that stops reading would stop a process that
-/// writes to it, and all its callers with it. Lines are gathered and written
-/// only as far as the descriptor takes them; beyond a bound they are dropped,
-/// counted, and the count is logged when there is room again.
+/// With blocking writes, a terminal or log collector that stops reading stalls
+/// the process and all its callers. Lines are buffered and written as far as
+/// the descriptor accepts them. When the buffer is full, lines are dropped and
+/// counted, and the count is logged once there is space again.
 ///
 /// Thread safety: none; owned by the loop's task.
 class log_output
 {
 public:
-    /// Takes over all log lines until it is destroyed.
+    /// Installs itself as the log sink until destruction.
     log_output(event_loop& loop, int descriptor);
     ~log_output();
     log_output(log_output const&) = delete;
@@ -29,21 +29,21 @@
 
     void write(std::string_view line);
 
-    /// Lines dropped so far.
+    /// Number of lines dropped since construction.
     std::uint64_t dropped() const
     {
         return m_dropped;
     }
 
-    /// Hands over what the descriptor takes now.
+    /// Writes as much of the buffer as the descriptor accepts.
     void flush();
 
 private:
     event_loop& m_loop;
     int m_descriptor;
-    std::string m_held;
+    std::string m_buffer;
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_dropped_told = 0;
+    std::uint64_t m_dropped_reported = 0;
     timer_handle m_timer;
     bool m_timer_set = false;
 };
--- a/src/runtime/mailbox.hpp
+++ b/src/runtime/mailbox.hpp
@@ -11,22 +11,24 @@
 
 namespace caperjunction::runtime {
 
-/// Bounded queue of messages to one task.
+/// Bounded message queue of one task.
 ///
-/// Without the bound, a task that falls behind lets memory grow until the
-/// host dies; with it the sender learns at once and can refuse its caller.
+/// Without the bound, the queue of a task that falls behind grows until the
+/// host runs out of memory. With it, `post` fails immediately and the sender
+/// can refuse its caller.
 ///
-/// Thread safety: any thread may post; only the owner takes.
+/// Thread safety: `post` and `post_or_wait` may be called from any thread,
+/// `take_all` only by the owner.
 template <typename Message>
 class mailbox
 {
 public:
-    /// What became of a message.
+    /// Result of posting a message.
     enum class post_result
     {
-        /// Taken, and the owner has to be woken.
+        /// Queued in an empty mailbox; the owner has to be woken.
         needs_wakeup,
-        /// Taken; the owner has been woken already.
+        /// Queued; an earlier message has woken the owner already.
         queued,
         full,
     };
@@ -36,7 +38,7 @@
     {
     }
 
-    /// Moves from `message` only if there is room.
+    /// Moves from `message` only if the mailbox is not full.
     post_result post(Message& message)
     {
         std::lock_guard const lock(m_mutex);
@@ -48,11 +50,12 @@
                                       : post_result::queued;
     }
 
-    /// Waits for room. \pre The owner never waits for the calling task.
+    /// Blocks while the mailbox is full.
+    /// \pre The owner never waits for the calling task (deadlock).
     post_result post_or_wait(Message& message)
     {
         std::unique_lock lock(m_mutex);
-        m_room.wait(lock, [this] {
+        m_not_full.wait(lock, [this] {
             return m_messages.size() < m_capacity;
         });
         m_messages.push_back(std::move(message));
@@ -60,21 +63,21 @@
                                       : post_result::queued;
     }
 
-    /// Everything posted so far, in order.
+    /// Removes and returns all messages in the order of posting.
     std::vector<Message> take_all()
     {
-        std::vector<Message> taken;
+        std::vector<Message> messages;
         {
             std::lock_guard const lock(m_mutex);
-            taken.swap(m_messages);
+            messages.swap(m_messages);
         }
-        m_room.notify_all();
-        return taken;
+        m_not_full.notify_all();
+        return messages;
     }
 
 private:
     std::mutex m_mutex;
-    std::condition_variable m_room;
+    std::condition_variable m_not_full;
     std::vector<Message> m_messages;
     std::size_t m_capacity;
 };
--- a/src/runtime/manual_clock.hpp
+++ b/src/runtime/manual_clock.hpp
@@ -8,9 +8,9 @@
 
 namespace caperjunction::runtime {
 
-/// A clock that stands still until a test advances it.
+/// Clock that changes only when a test advances it.
 ///
-/// Thread safety: none; for tests that run in one thread.
+/// Thread safety: none; for single-threaded tests.
 class manual_clock
 {
 public:
@@ -32,8 +32,8 @@
     }
 
 private:
-    // An hour past the epoch: zero is the default of many fields and must
-    // differ from every time that a test sees.
+    // One hour after the epoch: a zero time point means "unset" in many fields
+    // and must differ from every time that a test sees.
     std::shared_ptr<model::time_point> m_now =
         std::make_shared<model::time_point>(std::chrono::hours(1));
 };
--- a/src/runtime/signal_time.cpp
+++ b/src/runtime/signal_time.cpp
@@ -10,43 +10,45 @@
 namespace caperjunction::runtime {
 namespace {
 
-std::atomic<std::int64_t> s_delivered{0};
-std::array<struct sigaction, NSIG> s_before{};
+std::atomic<std::int64_t> s_first_delivery{0};
+std::array<struct sigaction, NSIG> s_previous_actions{};
 
 static_assert(std::atomic<std::int64_t>::is_always_lock_free,
-              "the handler may do nothing that locks");
+              "a signal handler must not take locks");
 
-void note(int signal)
+void handle_signal(int signal)
 {
-    int const kept = errno;
-    std::int64_t none = 0;
-    s_delivered.compare_exchange_strong(
-        none, std::chrono::steady_clock::now().time_since_epoch().count());
-    auto const before = s_before[static_cast<std::size_t>(signal)].sa_handler;
-    if (before != SIG_DFL && before != SIG_IGN) {
-        before(signal);
+    int const saved_errno = errno;
+    std::int64_t unset = 0;
+    s_first_delivery.compare_exchange_strong(
+        unset, std::chrono::steady_clock::now().time_since_epoch().count());
+    auto const previous =
+        s_previous_actions[static_cast<std::size_t>(signal)].sa_handler;
+    if (previous != SIG_DFL && previous != SIG_IGN) {
+        previous(signal);
     }
-    errno = kept;
+    errno = saved_errno;
 }
 
 } // namespace
 
 void record_signal_time(int signal)
 {
-    struct sigaction with
+    struct sigaction action
     {
     };
 
-    with.sa_handler = note;
-    with.sa_flags = SA_RESTART;
-    sigfillset(&with.sa_mask);
-    sigaction(signal, &with, &s_before[static_cast<std::size_t>(signal)]);
+    action.sa_handler = handle_signal;
+    action.sa_flags = SA_RESTART;
+    sigfillset(&action.sa_mask);
+    sigaction(
+        signal, &action, &s_previous_actions[static_cast<std::size_t>(signal)]);
 }
 
-model::time_point first_signal_time(model::time_point otherwise)
+model::time_point first_signal_time(model::time_point fallback)
 {
-    std::int64_t const count = s_delivered.load();
-    return count == 0 ? otherwise
+    std::int64_t const count = s_first_delivery.load();
+    return count == 0 ? fallback
                       : model::time_point(model::time_point::duration(count));
 }
 
--- a/src/runtime/signal_time.hpp
+++ b/src/runtime/signal_time.hpp
@@ -5,17 +5,17 @@
 
 namespace caperjunction::runtime {
 
-/// Notes when `signal` is delivered to the process, then calls the handler
-/// that was installed before. A busy loop handles a signal later than it came,
-/// and time limits count from its delivery.
+/// Records the time at which `signal` is first delivered to the process and
+/// forwards each delivery to the previously installed handler. Time limits
+/// count from the delivery, because a busy event loop handles a signal late.
 ///
-/// \pre A handler for `signal` is installed, and replaced by nobody later.
+/// \pre A handler for `signal` is installed and is not replaced afterwards.
 /// Thread safety: none.
 void record_signal_time(int signal);
 
-/// When the first signal that is stamped was delivered, by the steady clock;
-/// `otherwise` if none was. Thread safety: any thread.
-model::time_point first_signal_time(model::time_point otherwise);
+/// Returns the steady-clock time of the first delivery of a recorded signal, or
+/// `fallback` if there was none. Thread safety: any thread.
+model::time_point first_signal_time(model::time_point fallback);
 
 } // namespace caperjunction::runtime
 
--- a/src/runtime/task.hpp
+++ b/src/runtime/task.hpp
@@ -10,11 +10,12 @@
 
 namespace caperjunction::runtime {
 
-/// A thread with an event loop and a mailbox. What it owns (sockets, state)
-/// is touched by its handler and its timers alone; others post messages.
+/// Thread with an event loop and a mailbox. Sockets and state of a task are
+/// accessed only by its message handler and timers; other threads post
+/// messages.
 ///
-/// Thread safety: `post`, `post_or_wait` and `stop` from any thread; the
-/// rest by the thread that made it, before `start`.
+/// Thread safety: `post`, `post_or_wait` and `stop` may be called from any
+/// thread, all other members only by the constructing thread before `start`.
 template <typename Message>
 class task
 {
@@ -42,10 +43,10 @@
         return m_loop;
     }
 
-    /// \pre Set before `start`.
+    /// \pre `start` has not been called.
     void set_message_handler(handler handle)
     {
-        m_handle = std::move(handle);
+        m_handler = std::move(handle);
     }
 
     void start()
@@ -55,7 +56,7 @@
         });
     }
 
-    /// Ends the loop and waits for the thread.
+    /// Stops the loop and joins the thread.
     void stop()
     {
         m_loop.stop();
@@ -64,31 +65,31 @@
         }
     }
 
-    /// False, with `message` untouched, if the mailbox is full.
+    /// Returns false and leaves `message` unchanged if the mailbox is full.
     [[nodiscard]] bool post(Message& message)
     {
         auto const result = m_mailbox.post(message);
-        wake_after(result);
+        wake_if_needed(result);
         return result != mailbox<Message>::post_result::full;
     }
 
-    /// \pre This task never waits for the calling one.
+    /// \pre This task never waits for the calling task (deadlock).
     void post_or_wait(Message message)
     {
-        wake_after(m_mailbox.post_or_wait(message));
+        wake_if_needed(m_mailbox.post_or_wait(message));
     }
 
-    /// Handles what has been posted; called by the loop, and by tests that
-    /// run a task without its thread.
+    /// Handles all posted messages. Called by the loop, and by tests that run
+    /// a task without its thread.
     void process_messages()
     {
         for (Message& message : m_mailbox.take_all()) {
-            m_handle(message);
+            m_handler(message);
         }
     }
 
 private:
-    void wake_after(typename mailbox<Message>::post_result result)
+    void wake_if_needed(typename mailbox<Message>::post_result result)
     {
         if (result == mailbox<Message>::post_result::needs_wakeup) {
             m_loop.wake();
@@ -97,7 +98,7 @@
 
     event_loop m_loop;
     mailbox<Message> m_mailbox;
-    handler m_handle;
+    handler m_handler;
     std::thread m_thread;
 };
 
--- a/tests/runtime/event_loop_test.cpp
+++ b/tests/runtime/event_loop_test.cpp
@@ -7,10 +7,10 @@
 using namespace caperjunction;
 using namespace std::chrono_literals;
 
-// A process is suspended for a long time and wakes up. Were every missed
-// period made up for, its periodic work would run in a burst, and peers
-// would see a flood of messages that nobody needs any more.
-TEST_CASE("a timer that is late by many periods runs once")
+// A process is suspended for many periods and resumes. If missed periods were
+// run, periodic work would run in a burst and flood peers with outdated
+// messages.
+TEST_CASE("a periodic timer that is late by many periods runs once")
 {
     runtime::manual_clock time;
     runtime::event_loop loop(time.as_clock());
--- a/tests/runtime/log_line_test.cpp
+++ b/tests/runtime/log_line_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::string logged(std::string const& value)
+std::string format_field(std::string const& value)
 {
     std::string line;
     runtime::set_log_sink([&line](std::string_view text) {
@@ -20,12 +20,13 @@
 
 } // namespace
 
-// A caller puts a line break and a forged pair into a header that is logged.
-// Whoever reads the log would take the forged line for the router's own.
-TEST_CASE("a value cannot begin a line or a pair of its own")
+// A caller sends a line break and a forged pair in a header that is logged.
+// Without escaping, the forged line looks like a line of the router.
+TEST_CASE("a value cannot inject a line or a pair")
 {
-    CHECK(logged("a\nevent=forged") == R"(event=test key="a\x0aevent=forged")");
-    CHECK(logged("a\" b=c") == R"(event=test key="a\" b=c")");
-    CHECK(logged("plain") == "event=test key=plain");
-    CHECK(logged("") == R"(event=test key="")");
+    CHECK(format_field("a\nevent=forged")
+          == R"(event=test key="a\x0aevent=forged")");
+    CHECK(format_field("a\" b=c") == R"(event=test key="a\" b=c")");
+    CHECK(format_field("plain") == "event=test key=plain");
+    CHECK(format_field("") == R"(event=test key="")");
 }
--- a/tests/runtime/mailbox_test.cpp
+++ b/tests/runtime/mailbox_test.cpp
@@ -6,9 +6,9 @@
 
 using namespace caperjunction;
 
-// A task falls behind its senders. Unbounded, its queue would eat the host's
-// memory; the sender has to be told while it can still refuse its caller.
-TEST_CASE("a full mailbox leaves the message with its sender")
+// A task falls behind its senders. An unbounded queue would exhaust the host's
+// memory. The sender must get the failure while it can still refuse its caller.
+TEST_CASE("a full mailbox leaves the message unchanged")
 {
     runtime::mailbox<std::string> box(1);
     std::string first = "first";
