--- a/src/lists/catalogue.hpp
+++ b/src/lists/catalogue.hpp
@@ -11,7 +11,7 @@
 
 namespace caperjunction::lists {
 
-/// Who a caller is, once its key has been checked.
+/// Entries of the lists that belong to an authenticated caller.
 struct identity
 {
     lists::customer const* customer = nullptr;
@@ -20,7 +20,7 @@
     lists::entitlement const* entitlement = nullptr;
 };
 
-/// A checked pair of lists, indexed for the path of a request.
+/// Valid pair of lists with indexes for lookups while serving a request.
 ///
 /// Thread safety: immutable after construction; shared between tasks.
 class catalogue
@@ -41,11 +41,12 @@
         return m_entitlements;
     }
 
-    /// The caller that holds `key`, or an identity of null pointers. The
-    /// comparison takes the same time wherever the keys first differ.
+    /// Returns the holder of `key`, or null pointers if the key is invalid. The
+    /// time of the comparison does not depend on where the hashes differ, so
+    /// that response times reveal nothing about the stored hash.
     identity identify(std::string_view key) const;
 
-    /// Null if there is none of that name.
+    /// These return null if the name is not defined.
     service_class const* find_class(std::string_view name) const;
     tier const* find_tier(std::string_view name) const;
     plan const* find_plan(std::string_view name) const;
@@ -53,7 +54,7 @@
     service_entry const* find_service(std::string_view name) const;
 
 private:
-    struct key_place
+    struct key_entry
     {
         api_key const* key = nullptr;
         identity holder;
@@ -61,17 +62,17 @@
 
     using name_index = std::unordered_map<std::string_view, std::size_t>;
 
-    void index_keys();
+    void build_key_index();
 
     plan_list m_plans;
     entitlement_list m_entitlements;
-    name_index m_classes;
-    name_index m_tiers;
-    name_index m_plan_names;
-    name_index m_models;
-    name_index m_services;
-    name_index m_entitled;
-    std::unordered_map<std::string_view, key_place> m_keys;
+    name_index m_class_index;
+    name_index m_tier_index;
+    name_index m_plan_index;
+    name_index m_model_index;
+    name_index m_service_index;
+    name_index m_entitlement_index;
+    std::unordered_map<std::string_view, key_entry> m_key_index;
 };
 
 } // namespace caperjunction::lists
--- a/src/lists/change.hpp
+++ b/src/lists/change.hpp
@@ -27,11 +27,11 @@
     return "altered";
 }
 
-/// One entry that differs between two revisions of the lists.
+/// Entry that differs between two revisions of a list.
 struct change
 {
     change_kind kind = change_kind::altered;
-    /// Its place by names, e.g. `plans/flagship` or `teams/desk/otaru`.
+    /// Path made of names, e.g. `plans/flagship` or `teams/desk/otaru`.
     std::string entry;
 
     friend bool operator==(change const&, change const&) = default;
--- a/src/lists/check.hpp
+++ b/src/lists/check.hpp
@@ -9,9 +9,9 @@
 
 namespace caperjunction::lists {
 
-/// Every fault that can only be seen across entries: names that refer to
-/// nothing, names given twice, shares that add up to more than one. Empty
-/// means that the pair may be put in force. Thread safety: no shared state.
+/// Validates constraints across entries: references to undefined names,
+/// duplicate names, and shares with a sum above 1. Returns all faults; the
+/// lists may be applied only if there are none. Thread safety: no shared state.
 std::vector<fault> check(plan_list const& plans,
                          entitlement_list const& entitlements);
 
--- a/src/lists/check_deployment.cpp
+++ b/src/lists/check_deployment.cpp
@@ -8,67 +8,67 @@
 
 constexpr char const* entitlements_file = "entitlements";
 
-struct deployed
+struct deployed_names
 {
     std::set<std::string> regions;
     std::set<std::string> models;
     std::set<std::string> services;
 };
 
-deployed collect(model::host_list const& hosts,
-                 model::upstream_list const& upstreams)
+deployed_names collect_names(model::host_list const& hosts,
+                             model::upstream_list const& upstreams)
 {
-    deployed found;
+    deployed_names names;
     for (model::host const& member : hosts.members) {
-        found.regions.insert(member.region);
+        names.regions.insert(member.region);
     }
     for (model::engine const& member : upstreams.engines) {
-        found.models.insert(member.models.begin(), member.models.end());
+        names.models.insert(member.models.begin(), member.models.end());
     }
     for (model::service_instance const& member : upstreams.services) {
-        found.services.insert(member.service);
+        names.services.insert(member.service);
     }
-    return found;
+    return names;
 }
 
-std::string place_path(char const* array, std::size_t place, char const* field)
+std::string entry_path(char const* array, std::size_t index, char const* field)
 {
-    return std::string("/") + array + '/' + std::to_string(place) + '/' + field;
+    return std::string("/") + array + '/' + std::to_string(index) + '/' + field;
 }
 
 void check_models(entitlement_list const& list,
-                  deployed const& there,
+                  deployed_names const& deployed,
                   std::vector<fault>& faults)
 {
-    for (std::size_t place = 0; place < list.models.size(); ++place) {
-        if (there.models.count(list.models[place].name) == 0) {
+    for (std::size_t index = 0; index < list.models.size(); ++index) {
+        if (deployed.models.count(list.models[index].name) == 0) {
             faults.push_back(
                 {entitlements_file,
-                 place_path("models", place, "name"),
-                 "no engine serves '" + list.models[place].name + "'",
-                 "add it to an engine or remove it here"});
+                 entry_path("models", index, "name"),
+                 "no engine serves '" + list.models[index].name + "'",
+                 "add the model to an engine or remove it here"});
         }
     }
 }
 
 void check_services(entitlement_list const& list,
-                    deployed const& there,
+                    deployed_names const& deployed,
                     std::vector<fault>& faults)
 {
-    for (std::size_t place = 0; place < list.services.size(); ++place) {
-        service_entry const& entry = list.services[place];
-        if (there.services.count(entry.name) == 0) {
+    for (std::size_t index = 0; index < list.services.size(); ++index) {
+        service_entry const& entry = list.services[index];
+        if (deployed.services.count(entry.name) == 0) {
             faults.push_back({entitlements_file,
-                              place_path("services", place, "name"),
+                              entry_path("services", index, "name"),
                               "'" + entry.name + "' has no instance",
                               "add an instance or remove it here"});
         }
         if (!entry.home_region.empty()
-            && there.regions.count(entry.home_region) == 0) {
+            && deployed.regions.count(entry.home_region) == 0) {
             faults.push_back({entitlements_file,
-                              place_path("services", place, "home_region"),
+                              entry_path("services", index, "home_region"),
                               "'" + entry.home_region + "' has no host",
-                              "name a region that has hosts"});
+                              "use a region that has hosts"});
         }
     }
 }
@@ -80,9 +80,9 @@
                                     model::upstream_list const& upstreams)
 {
     std::vector<fault> faults;
-    deployed const there = collect(hosts, upstreams);
-    check_models(entitlements, there, faults);
-    check_services(entitlements, there, faults);
+    deployed_names const deployed = collect_names(hosts, upstreams);
+    check_models(entitlements, deployed, faults);
+    check_services(entitlements, deployed, faults);
     return faults;
 }
 
--- a/src/lists/check_deployment.hpp
+++ b/src/lists/check_deployment.hpp
@@ -10,12 +10,13 @@
 
 namespace caperjunction::lists {
 
-/// What the entitlements name that the platform does not list: a home region
-/// without hosts, a model on no engine, a service without instances.
+/// Returns a fault for each entry of the entitlements that the platform's lists
+/// do not cover: a home region without hosts, a model without an engine, a
+/// service without instances.
 ///
-/// For the offline check alone. The platform's lists lag and change by
-/// themselves, so a router that refused a list for this would drop a good one
-/// while a region is away. Thread safety: no shared state.
+/// Used only by the offline check. The platform's lists lag and change
+/// independently, so a router that applied this check would reject a valid list
+/// while a region is unavailable. Thread safety: no shared state.
 std::vector<fault> check_deployment(entitlement_list const& entitlements,
                                     model::host_list const& hosts,
                                     model::upstream_list const& upstreams);
--- a/src/lists/customer.hpp
+++ b/src/lists/customer.hpp
@@ -6,20 +6,21 @@
 
 namespace caperjunction::lists {
 
-/// An API key as it is kept: never the key itself.
+/// Stored form of an API key. The key itself is never stored.
 struct api_key
 {
-    /// The part of the key before its dot, in clear; finds this entry.
+    /// Part of the key before its first dot, in plain text; the lookup key.
     std::string id;
-    /// Hex; mixed into the hash, so that equal keys have unequal hashes.
+    /// Hexadecimal; hashed with the key, so that equal keys differ in hash.
     std::string salt;
-    /// Hex of SHA-256 over the salt's text and the whole key.
+    /// Hexadecimal SHA-256 of the salt's text followed by the complete key.
     std::string sha256;
 
     friend bool operator==(api_key const&, api_key const&) = default;
 };
 
-/// A shop, society or desk that sends requests under one plan.
+/// Part of a customer (a shop, society or desk) that sends requests under one
+/// plan.
 struct team
 {
     std::string name;
--- a/src/lists/diff.cpp
+++ b/src/lists/diff.cpp
@@ -6,18 +6,18 @@
 namespace caperjunction::lists {
 namespace {
 
-/// Compares the entries of one array by their names.
+/// Appends the differences between two arrays, matching entries by name.
 template <typename Entry>
-void compare(std::string const& path,
-             std::map<std::string, Entry const*> const& before,
-             std::map<std::string, Entry const*> const& after,
-             std::vector<change>& changes)
+void append_changes(std::string const& path,
+                    std::map<std::string, Entry const*> const& before,
+                    std::map<std::string, Entry const*> const& after,
+                    std::vector<change>& changes)
 {
     for (auto const& [name, entry] : before) {
-        auto const kept = after.find(name);
-        if (kept == after.end()) {
+        auto const match = after.find(name);
+        if (match == after.end()) {
             changes.push_back({change_kind::removed, path + name});
-        } else if (!(*kept->second == *entry)) {
+        } else if (!(*match->second == *entry)) {
             changes.push_back({change_kind::altered, path + name});
         }
     }
@@ -29,7 +29,8 @@
 }
 
 template <typename Entry>
-std::map<std::string, Entry const*> by_name(std::vector<Entry> const& entries)
+std::map<std::string, Entry const*>
+index_by_name(std::vector<Entry> const& entries)
 {
     std::map<std::string, Entry const*> index;
     for (Entry const& entry : entries) {
@@ -38,7 +39,7 @@
     return index;
 }
 
-std::map<std::string, team const*> teams_by_name(plan_list const& list)
+std::map<std::string, team const*> index_teams(plan_list const& list)
 {
     std::map<std::string, team const*> index;
     for (customer const& owner : list.customers) {
@@ -50,7 +51,7 @@
 }
 
 std::map<std::string, entitlement const*>
-by_plan(std::vector<entitlement> const& entries)
+index_by_plan(std::vector<entitlement> const& entries)
 {
     std::map<std::string, entitlement const*> index;
     for (entitlement const& entry : entries) {
@@ -64,11 +65,19 @@
 std::vector<change> diff(plan_list const& before, plan_list const& after)
 {
     std::vector<change> changes;
-    compare("tiers/", by_name(before.tiers), by_name(after.tiers), changes);
-    compare(
-        "classes/", by_name(before.classes), by_name(after.classes), changes);
-    compare("plans/", by_name(before.plans), by_name(after.plans), changes);
-    compare("teams/", teams_by_name(before), teams_by_name(after), changes);
+    append_changes("tiers/",
+                   index_by_name(before.tiers),
+                   index_by_name(after.tiers),
+                   changes);
+    append_changes("classes/",
+                   index_by_name(before.classes),
+                   index_by_name(after.classes),
+                   changes);
+    append_changes("plans/",
+                   index_by_name(before.plans),
+                   index_by_name(after.plans),
+                   changes);
+    append_changes("teams/", index_teams(before), index_teams(after), changes);
     return changes;
 }
 
@@ -76,15 +85,18 @@
                          entitlement_list const& after)
 {
     std::vector<change> changes;
-    compare("models/", by_name(before.models), by_name(after.models), changes);
-    compare("services/",
-            by_name(before.services),
-            by_name(after.services),
-            changes);
-    compare("entitlements/",
-            by_plan(before.entitlements),
-            by_plan(after.entitlements),
-            changes);
+    append_changes("models/",
+                   index_by_name(before.models),
+                   index_by_name(after.models),
+                   changes);
+    append_changes("services/",
+                   index_by_name(before.services),
+                   index_by_name(after.services),
+                   changes);
+    append_changes("entitlements/",
+                   index_by_plan(before.entitlements),
+                   index_by_plan(after.entitlements),
+                   changes);
     return changes;
 }
 
--- a/src/lists/diff.hpp
+++ b/src/lists/diff.hpp
@@ -9,12 +9,12 @@
 
 namespace caperjunction::lists {
 
-/// What a new list of plans changes, by array and name, for the log line of
-/// its revision. Holds names alone: no key, salt or hash.
+/// Returns the entries that differ between two lists of plans, for the log line
+/// of the new revision. Contains only names, never a key, salt or hash.
 /// \pre both lists have passed `check`. Thread safety: no shared state.
 std::vector<change> diff(plan_list const& before, plan_list const& after);
 
-/// The same for the list of entitlements.
+/// Returns the entries that differ between two lists of entitlements.
 std::vector<change> diff(entitlement_list const& before,
                          entitlement_list const& after);
 
--- a/src/lists/entitlement_list.hpp
+++ b/src/lists/entitlement_list.hpp
@@ -7,7 +7,7 @@
 
 namespace caperjunction::lists {
 
-/// A model that may be named by callers.
+/// Model that callers may request.
 struct model_entry
 {
     std::string name;
@@ -16,12 +16,12 @@
     friend bool operator==(model_entry const&, model_entry const&) = default;
 };
 
-/// One call of a plain service, by method and leading part of its path.
+/// Operation of a plain service, matched by method and path prefix.
 struct service_call
 {
     std::string method;
     std::string path_prefix;
-    /// False: it runs at most once, and needs an Idempotency-Key.
+    /// If false, the call runs at most once and needs an Idempotency-Key.
     bool repeatable = false;
 
     friend bool operator==(service_call const&, service_call const&) = default;
@@ -30,8 +30,8 @@
 struct service_entry
 {
     std::string name;
-    /// Where its instances stand. The lists' check reads it; claims are kept
-    /// all over the fleet, whatever it says.
+    /// Region of its instances. Used only by `check_deployment`; claims are
+    /// stored across the fleet regardless of this value.
     std::string home_region;
     std::vector<service_call> calls;
 
@@ -39,7 +39,7 @@
                            service_entry const&) = default;
 };
 
-/// What the holders of one plan may use.
+/// Models and services that the teams of one plan may use.
 struct entitlement
 {
     std::string plan;
@@ -49,10 +49,11 @@
     friend bool operator==(entitlement const&, entitlement const&) = default;
 };
 
-/// The second of the operators' two lists: what each plan may use.
+/// Second of the two lists maintained by operators: the models and services
+/// that each plan may use.
 struct entitlement_list
 {
-    /// Given by the platform at publishing; not part of the text.
+    /// Assigned by the platform on publication; not part of the JSON text.
     std::uint64_t revision = 0;
     std::vector<model_entry> models;
     std::vector<service_entry> services;
--- a/src/lists/fault.hpp
+++ b/src/lists/fault.hpp
@@ -5,12 +5,12 @@
 
 namespace caperjunction::lists {
 
-/// One thing that is wrong in a list, and what mends it.
+/// Validation error of a list, with a remedy.
 struct fault
 {
-    /// The file or published value that it stands in.
+    /// File or published value that contains the error.
     std::string file;
-    /// JSON pointer to the place, e.g. `/plans/3/classes/0`.
+    /// JSON pointer to the element, e.g. `/plans/3/classes/0`.
     std::string path;
     std::string message;
     std::string remedy;
--- a/src/lists/object_reader.cpp
+++ b/src/lists/object_reader.cpp
@@ -9,9 +9,10 @@
 namespace {
 
 constexpr std::size_t max_faults = 500;
-// Above any real rate; keeps sums of rates finite.
+// Above any realistic rate; keeps sums of rates finite.
 constexpr double max_rate = 1e12;
-// A day. Longer times are slips, such as seconds written in microseconds.
+// One day. Longer durations are unit errors, such as seconds written in
+// microseconds.
 constexpr std::uint32_t max_duration_ms = 86'400'000;
 
 } // namespace
@@ -100,7 +101,8 @@
         return;
     }
     if (!value->is_string() || value->get<std::string>().empty()) {
-        add_fault(field, "is not a text", "write a text in quotes");
+        add_fault(
+            field, "is not a non-empty string", "write a string in quotes");
         return;
     }
     into = value->get<std::string>();
@@ -108,8 +110,8 @@
 
 void object_reader::require_hex(char const* field,
                                 std::string& into,
-                                std::size_t least,
-                                std::size_t most)
+                                std::size_t min_length,
+                                std::size_t max_length)
 {
     nlohmann::json const* const value = require(field);
     if (value == nullptr) {
@@ -117,13 +119,14 @@
     }
     std::string const text =
         value->is_string() ? value->get<std::string>() : std::string();
-    bool const fits =
-        text.size() >= least && text.size() <= most && is_hex(text);
-    if (!fits) {
-        add_fault(field,
-                  "is not a text of lower-case hex digits of the right length",
-                  "write " + std::to_string(least) + " to "
-                      + std::to_string(most) + " of the digits 0-9 and a-f");
+    bool const is_valid =
+        text.size() >= min_length && text.size() <= max_length && is_hex(text);
+    if (!is_valid) {
+        add_fault(
+            field,
+            "is not a string of lower-case hex digits of the right length",
+            "write " + std::to_string(min_length) + " to "
+                + std::to_string(max_length) + " of the digits 0-9 and a-f");
         return;
     }
     into = text;
@@ -136,7 +139,7 @@
         return;
     }
     if (!value->is_boolean()) {
-        add_fault(field, "is neither true nor false", "write true or false");
+        add_fault(field, "is not a boolean", "write true or false");
         return;
     }
     into = value->get<bool>();
@@ -144,20 +147,20 @@
 
 void object_reader::read_count(char const* field,
                                std::uint32_t& into,
-                               std::uint32_t least)
+                               std::uint32_t min)
 {
     nlohmann::json const* const value = find(field);
     if (value == nullptr) {
         return;
     }
-    bool const fits = value->is_number_unsigned()
-                      && value->get<std::uint64_t>() >= least
-                      && value->get<std::uint64_t>()
-                             <= std::numeric_limits<std::uint32_t>::max();
-    if (!fits) {
+    bool const is_valid = value->is_number_unsigned()
+                          && value->get<std::uint64_t>() >= min
+                          && value->get<std::uint64_t>()
+                                 <= std::numeric_limits<std::uint32_t>::max();
+    if (!is_valid) {
         add_fault(field,
-                  "is not a whole number in range",
-                  "write a whole number of at least " + std::to_string(least));
+                  "is not an integer in range",
+                  "write an integer of at least " + std::to_string(min));
         return;
     }
     into = value->get<std::uint32_t>();
@@ -169,10 +172,11 @@
     if (value == nullptr) {
         return;
     }
-    bool const fits = value->is_number() && value->get<double>() >= 0.0
-                      && value->get<double>() <= max_rate;
-    if (!fits) {
-        add_fault(field, "is not a rate", "write a number from 0 to 1e12");
+    bool const is_valid = value->is_number() && value->get<double>() >= 0.0
+                          && value->get<double>() <= max_rate;
+    if (!is_valid) {
+        add_fault(
+            field, "is not a valid rate", "write a number from 0 to 1e12");
         return;
     }
     into = value->get<double>();
@@ -184,10 +188,10 @@
     if (value == nullptr) {
         return;
     }
-    bool const fits = value->is_number() && value->get<double>() >= 0.0
-                      && value->get<double>() <= 1.0;
-    if (!fits) {
-        add_fault(field, "is not a share", "write a number from 0 to 1");
+    bool const is_valid = value->is_number() && value->get<double>() >= 0.0
+                          && value->get<double>() <= 1.0;
+    if (!is_valid) {
+        add_fault(field, "is not a valid share", "write a number from 0 to 1");
         return;
     }
     into = value->get<double>();
@@ -196,13 +200,13 @@
 void object_reader::read_duration_ms(char const* field,
                                      std::chrono::milliseconds& into)
 {
-    auto whole = static_cast<std::uint32_t>(into.count());
-    read_count(field, whole, 1);
-    if (whole > max_duration_ms) {
+    auto ms = static_cast<std::uint32_t>(into.count());
+    read_count(field, ms, 1);
+    if (ms > max_duration_ms) {
         add_fault(field, "is longer than a day", "write it in milliseconds");
         return;
     }
-    into = std::chrono::milliseconds(whole);
+    into = std::chrono::milliseconds(ms);
 }
 
 void object_reader::read_names(char const* field,
@@ -215,7 +219,7 @@
     for (nlohmann::json const& item : *array) {
         if (!item.is_string() || !is_name(item.get<std::string>())) {
             add_fault(field,
-                      "holds something that is not a name",
+                      "contains an element that is not a name",
                       "use 1 to 64 letters, digits, or - _ . :");
             return;
         }
@@ -239,7 +243,7 @@
     require_text("address", into.address);
     if (!into.address.empty() && !is_numeric_address(into.address)) {
         add_fault("address",
-                  "is not an IP address in numbers",
+                  "is not a numeric IP address",
                   "write it as 10.0.0.1 or fd00::1; names are not resolved");
     }
 }
@@ -252,7 +256,8 @@
     }
     read_count("port", port, 1);
     if (port > std::numeric_limits<std::uint16_t>::max()) {
-        add_fault("port", "is not a port", "write a number from 1 to 65535");
+        add_fault(
+            "port", "is not a valid port", "write a number from 1 to 65535");
         return;
     }
     into.port = static_cast<std::uint16_t>(port);
--- a/src/lists/object_reader.hpp
+++ b/src/lists/object_reader.hpp
@@ -14,8 +14,8 @@
 
 namespace caperjunction::lists {
 
-/// Reads one JSON object field by field and notes each fault with its path,
-/// so that an operator sees all of them at once.
+/// Reads one JSON object field by field and records each fault with its path,
+/// so that an operator sees all faults of a list at once.
 ///
 /// Thread safety: none. Private to this folder.
 class object_reader
@@ -26,28 +26,27 @@
                   std::string path,
                   std::vector<fault>& faults);
 
-    /// Each of these leaves `into` as it is, and notes a fault, if the field
-    /// has the wrong type or range; a field that is not there is a fault only
-    /// for the `need_` forms.
+    /// Each of these leaves `into` unchanged and records a fault if the field
+    /// has the wrong type or range. A missing field is a fault only for the
+    /// `require_` forms.
     void require_name(char const* field, std::string& into);
     void read_name(char const* field, std::string& into);
     void require_text(char const* field, std::string& into);
-    /// Lower-case hex digits, `least` to `most` of them.
+    /// Reads `min_length` to `max_length` lower-case hex digits.
     void require_hex(char const* field,
                      std::string& into,
-                     std::size_t least,
-                     std::size_t most);
+                     std::size_t min_length,
+                     std::size_t max_length);
     void read_boolean(char const* field, bool& into);
-    void
-    read_count(char const* field, std::uint32_t& into, std::uint32_t least);
+    void read_count(char const* field, std::uint32_t& into, std::uint32_t min);
     void read_rate(char const* field, double& into);
     void read_share(char const* field, double& into);
     void read_duration_ms(char const* field, std::chrono::milliseconds& into);
     void read_names(char const* field, std::vector<std::string>& into);
-    /// An object of a numeric IP `address` and a `port` from 1 to 65535.
+    /// Reads an object with a numeric IP `address` and a `port` of 1 to 65535.
     void require_endpoint(char const* field, model::endpoint& into);
 
-    /// Calls `each` with a reader for every object of the array.
+    /// Calls `each` with an object_reader for every object of the array.
     template <typename Each>
     void read_objects(char const* field, Each each)
     {
@@ -55,18 +54,18 @@
         if (array == nullptr) {
             return;
         }
-        for (std::size_t place = 0; place < array->size(); ++place) {
-            object_reader item((*array)[place],
+        for (std::size_t index = 0; index < array->size(); ++index) {
+            object_reader item((*array)[index],
                                m_file,
                                m_path + '/' + field + '/'
-                                   + std::to_string(place),
+                                   + std::to_string(index),
                                m_faults);
             each(item);
             item.report_unknown_fields();
         }
     }
 
-    /// The same for one object.
+    /// Calls `each` with an object_reader for the object.
     template <typename Each>
     void read_object(char const* field, Each each)
     {
@@ -79,12 +78,12 @@
         item.report_unknown_fields();
     }
 
-    /// Notes a fault for each field that nothing has asked for: a misspelt
-    /// name would otherwise silently leave its default in force.
+    /// Records a fault for each field that was not read. Otherwise a misspelt
+    /// field would silently leave the default in effect.
     void report_unknown_fields();
 
-    /// Notes a fault of this field; the first few hundred of a list are kept,
-    /// so that a list of nothing but faults does not fill the memory.
+    /// Records a fault of this field. Only the first 500 faults of a list are
+    /// kept, so that a list full of faults does not exhaust memory.
     void add_fault(char const* field, std::string message, std::string remedy);
 
 private:
--- a/src/lists/parse.cpp
+++ b/src/lists/parse.cpp
@@ -6,12 +6,13 @@
 namespace caperjunction::lists {
 namespace {
 
-// 64 bits keep equal keys apart over any number of lists.
+// A salt of 64 bits is unique in practice, so that equal keys get different
+// hashes over any number of lists.
 constexpr std::size_t min_salt_digits = 16;
 constexpr std::size_t max_salt_digits = 128;
 constexpr std::size_t hash_digits = 64;
 
-bool is_method(std::string const& name)
+bool is_supported_method(std::string const& name)
 {
     return name == "GET" || name == "HEAD" || name == "POST" || name == "PUT"
            || name == "PATCH" || name == "DELETE";
@@ -64,15 +65,16 @@
     from.require_name("name", item.name);
     from.require_name("plan", item.plan);
     from.read_objects("keys", [&item](object_reader& key) {
-        api_key kept;
-        key.require_name("id", kept.id);
-        if (kept.id.find('.') != std::string::npos) {
-            // The id ends at the key's first dot; this one is never found.
-            key.add_fault("id", "holds a dot", "leave the dot out of the id");
+        api_key entry;
+        key.require_name("id", entry.id);
+        if (entry.id.find('.') != std::string::npos) {
+            // The id of a key ends at its first dot, so an id that contains
+            // a dot never matches.
+            key.add_fault("id", "contains a dot", "remove the dot from the id");
         }
-        key.require_hex("salt", kept.salt, min_salt_digits, max_salt_digits);
-        key.require_hex("sha256", kept.sha256, hash_digits, hash_digits);
-        item.keys.push_back(std::move(kept));
+        key.require_hex("salt", entry.salt, min_salt_digits, max_salt_digits);
+        key.require_hex("sha256", entry.sha256, hash_digits, hash_digits);
+        item.keys.push_back(std::move(entry));
     });
     into.teams.push_back(std::move(item));
 }
@@ -103,16 +105,15 @@
     from.read_objects("calls", [&item](object_reader& call_reader) {
         service_call call;
         call_reader.require_name("method", call.method);
-        if (!call.method.empty() && !is_method(call.method)) {
-            call_reader.add_fault(
-                "method",
-                "is not a method",
-                "write GET, HEAD, POST, PUT, PATCH or DELETE");
+        if (!call.method.empty() && !is_supported_method(call.method)) {
+            call_reader.add_fault("method",
+                                  "is not a supported method",
+                                  "use GET, HEAD, POST, PUT, PATCH or DELETE");
         }
         call_reader.require_text("path_prefix", call.path_prefix);
         if (!call.path_prefix.empty() && call.path_prefix.front() != '/') {
             call_reader.add_fault("path_prefix",
-                                  "does not begin with a slash",
+                                  "does not start with a slash",
                                   "write it as /path");
         }
         call_reader.read_boolean("repeatable", call.repeatable);
@@ -141,20 +142,20 @@
     if (!root) {
         return list;
     }
-    object_reader top(*root, file, "", faults);
-    top.read_objects("tiers", [&list](object_reader& item) {
+    object_reader root_reader(*root, file, "", faults);
+    root_reader.read_objects("tiers", [&list](object_reader& item) {
         read_tier(item, list);
     });
-    top.read_objects("classes", [&list](object_reader& item) {
+    root_reader.read_objects("classes", [&list](object_reader& item) {
         read_class(item, list);
     });
-    top.read_objects("plans", [&list](object_reader& item) {
+    root_reader.read_objects("plans", [&list](object_reader& item) {
         read_plan(item, list);
     });
-    top.read_objects("customers", [&list](object_reader& item) {
+    root_reader.read_objects("customers", [&list](object_reader& item) {
         read_customer(item, list);
     });
-    top.report_unknown_fields();
+    root_reader.report_unknown_fields();
     return list;
 }
 
@@ -167,17 +168,17 @@
     if (!root) {
         return list;
     }
-    object_reader top(*root, file, "", faults);
-    top.read_objects("models", [&list](object_reader& item) {
+    object_reader root_reader(*root, file, "", faults);
+    root_reader.read_objects("models", [&list](object_reader& item) {
         read_model(item, list);
     });
-    top.read_objects("services", [&list](object_reader& item) {
+    root_reader.read_objects("services", [&list](object_reader& item) {
         read_service(item, list);
     });
-    top.read_objects("entitlements", [&list](object_reader& item) {
+    root_reader.read_objects("entitlements", [&list](object_reader& item) {
         read_entitlement(item, list);
     });
-    top.report_unknown_fields();
+    root_reader.report_unknown_fields();
     return list;
 }
 
--- a/src/lists/parse.hpp
+++ b/src/lists/parse.hpp
@@ -11,14 +11,14 @@
 
 namespace caperjunction::lists {
 
-/// Fills the list of plans from its JSON text, and appends every fault found
-/// to `faults`; the result may be used only if none was appended. `file`
-/// names the source in faults. Thread safety: no shared state.
+/// Parses the list of plans and appends every fault found to `faults`. The
+/// result may be used only if none was appended. `file` names the source in
+/// faults. Thread safety: no shared state.
 plan_list parse_plans(std::string_view text,
                       std::string const& file,
                       std::vector<fault>& faults);
 
-/// The same for the list of entitlements.
+/// Parses the list of entitlements in the same way.
 entitlement_list parse_entitlements(std::string_view text,
                                     std::string const& file,
                                     std::vector<fault>& faults);
--- a/src/lists/parse_document.cpp
+++ b/src/lists/parse_document.cpp
@@ -8,44 +8,45 @@
 namespace caperjunction::lists {
 namespace {
 
-// The deepest place of a good list is /customers/N/teams/N/keys/N/id.
+// The deepest element of a valid list is /customers/N/teams/N/keys/N/id.
 constexpr int max_depth = 12;
-constexpr char const* nesting_remedy = "remove the nested brackets";
+constexpr char const* nesting_remedy = "reduce the nesting";
 
-/// Watches the parser's events for what the finished value no longer shows.
-class document_watch
+/// Detects duplicate fields and excessive nesting from the parser's events; the
+/// parsed value no longer shows duplicates.
+class document_validator
 {
 public:
-    document_watch(std::string const& file, std::vector<fault>& faults)
+    document_validator(std::string const& file, std::vector<fault>& faults)
         : m_file(file)
         , m_faults(faults)
     {
     }
 
-    /// False drops the value that has just been read.
-    bool observe(int depth,
-                 nlohmann::json::parse_event_t event,
-                 nlohmann::json const& value)
+    /// Handles a parser event. Returns false to discard the value.
+    bool handle_event(int depth,
+                      nlohmann::json::parse_event_t event,
+                      nlohmann::json const& value)
     {
-        using kind = nlohmann::json::parse_event_t;
+        using event_kind = nlohmann::json::parse_event_t;
         switch (event) {
-        case kind::object_start:
-        case kind::array_start:
-            step();
-            if (!is_shallow(depth)) {
+        case event_kind::object_start:
+        case event_kind::array_start:
+            count_item();
+            if (!check_depth(depth)) {
                 return false;
             }
-            m_levels.push_back({event == kind::array_start, 0, {}, {}});
+            m_levels.push_back({event == event_kind::array_start, 0, {}, {}});
             return true;
-        case kind::object_end:
-        case kind::array_end:
+        case event_kind::object_end:
+        case event_kind::array_end:
             m_levels.pop_back();
             return true;
-        case kind::key:
-            note_key(value.get<std::string>());
+        case event_kind::key:
+            check_key(value.get<std::string>());
             return true;
-        case kind::value:
-            step();
+        case event_kind::value:
+            count_item();
             return true;
         }
         return true;
@@ -60,45 +61,46 @@
         std::set<std::string> seen;
     };
 
-    // Counts an item of the array that is being read.
-    void step()
+    // Counts an item of the innermost array.
+    void count_item()
     {
         if (!m_levels.empty() && m_levels.back().is_array) {
             ++m_levels.back().items;
         }
     }
 
-    bool is_shallow(int depth)
+    bool check_depth(int depth)
     {
         if (depth < max_depth) {
             return true;
         }
-        if (!m_deep) {
+        if (!m_depth_reported) {
             m_faults.push_back(
                 {m_file, path(), "is nested too deeply", nesting_remedy});
         }
-        m_deep = true;
+        m_depth_reported = true;
         return false;
     }
 
-    void note_key(std::string const& key)
+    void check_key(std::string const& key)
     {
         m_levels.back().key = key;
         if (!m_levels.back().seen.insert(key).second) {
             m_faults.push_back(
-                {m_file, path(), "is given twice", "remove one of the two"});
+                {m_file, path(), "is a duplicate", "remove one of the two"});
         }
     }
 
     std::string path() const
     {
         std::string text;
-        for (level const& step : m_levels) {
-            if (step.is_array) {
-                text += '/' + std::to_string(step.items - 1);
-            } else if (!step.key.empty()) {
+        for (level const& level_entry : m_levels) {
+            if (level_entry.is_array) {
+                text += '/' + std::to_string(level_entry.items - 1);
+            } else if (!level_entry.key.empty()) {
                 text +=
-                    '/' + step.key.substr(0, model::limits::max_name_length);
+                    '/'
+                    + level_entry.key.substr(0, model::limits::max_name_length);
             }
         }
         return text;
@@ -107,7 +109,7 @@
     std::string const& m_file;
     std::vector<fault>& m_faults;
     std::vector<level> m_levels;
-    bool m_deep = false;
+    bool m_depth_reported = false;
 };
 
 } // namespace
@@ -118,32 +120,33 @@
 {
     if (text.size() > model::limits::max_list_bytes) {
         faults.push_back(
-            {file, "", "is larger than 1 MiB", "split the customers up"});
+            {file, "", "is larger than 1 MiB", "reduce the number of entries"});
         return std::nullopt;
     }
-    std::size_t const before = faults.size();
-    document_watch watch(file, faults);
+    std::size_t const initial_faults = faults.size();
+    document_validator validator(file, faults);
     nlohmann::json root;
     try {
-        root =
-            nlohmann::json::parse(text,
-                                  [&watch](int depth,
-                                           nlohmann::json::parse_event_t event,
-                                           nlohmann::json& value) {
-                                      return watch.observe(depth, event, value);
-                                  });
-    } catch (nlohmann::json::parse_error const& failure) {
-        faults.push_back({file,
-                          "",
-                          "is not JSON: byte " + std::to_string(failure.byte),
-                          "mend the syntax there"});
+        root = nlohmann::json::parse(
+            text,
+            [&validator](int depth,
+                         nlohmann::json::parse_event_t event,
+                         nlohmann::json& value) {
+                return validator.handle_event(depth, event, value);
+            });
+    } catch (nlohmann::json::parse_error const& syntax_error) {
+        faults.push_back(
+            {file,
+             "",
+             "is not JSON: byte " + std::to_string(syntax_error.byte),
+             "correct the syntax at this position"});
     } catch (nlohmann::json::exception const&) {
         faults.push_back({file,
                           "",
-                          "holds a number that no computer can hold",
+                          "contains a number that is out of range",
                           "write a smaller number"});
     }
-    if (faults.size() != before) {
+    if (faults.size() != initial_faults) {
         return std::nullopt;
     }
     return root;
--- a/src/lists/parse_document.hpp
+++ b/src/lists/parse_document.hpp
@@ -12,9 +12,10 @@
 
 namespace caperjunction::lists {
 
-/// Reads one published document as JSON, within the bounds of size and depth.
-/// Nothing, and at least one fault more, if it cannot be used: a field given
-/// twice is a fault, since readers differ on which of the two counts.
+/// Parses a published document as JSON and enforces the limits on size and
+/// nesting depth. Returns nothing and appends at least one fault if the
+/// document is unusable. A duplicate field is a fault, since JSON parsers
+/// differ on which of the two values they use.
 ///
 /// Thread safety: no shared state. Private to this folder.
 std::optional<nlohmann::json> parse_document(std::string_view text,
--- a/src/lists/parse_hosts.cpp
+++ b/src/lists/parse_hosts.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 void read_host(object_reader& from,
-               std::set<std::string>& taken,
+               std::set<std::string>& seen_names,
                model::host_list& into)
 {
     model::host item;
@@ -19,9 +19,9 @@
     from.require_endpoint("callers", item.callers);
     from.require_endpoint("peers", item.peers);
     from.read_boolean("leaving", item.leaving);
-    if (!item.name.empty() && !taken.insert(item.name).second) {
+    if (!item.name.empty() && !seen_names.insert(item.name).second) {
         from.add_fault(
-            "name", "is given twice", "rename or remove one of the two");
+            "name", "is a duplicate", "rename or remove one of the two");
     }
     into.members.push_back(std::move(item));
 }
@@ -37,12 +37,12 @@
     if (!root) {
         return list;
     }
-    std::set<std::string> taken;
-    object_reader top(*root, file, "", faults);
-    top.read_objects("hosts", [&](object_reader& item) {
-        read_host(item, taken, list);
+    std::set<std::string> seen_names;
+    object_reader root_reader(*root, file, "", faults);
+    root_reader.read_objects("hosts", [&](object_reader& item) {
+        read_host(item, seen_names, list);
     });
-    top.report_unknown_fields();
+    root_reader.report_unknown_fields();
     return list;
 }
 
--- a/src/lists/parse_upstreams.cpp
+++ b/src/lists/parse_upstreams.cpp
@@ -8,13 +8,13 @@
 namespace caperjunction::lists {
 namespace {
 
-void refuse_twice(object_reader& from,
-                  std::set<std::string>& taken,
-                  std::string const& name)
+void check_unique_name(object_reader& from,
+                       std::set<std::string>& seen_names,
+                       std::string const& name)
 {
-    if (!name.empty() && !taken.insert(name).second) {
+    if (!name.empty() && !seen_names.insert(name).second) {
         from.add_fault(
-            "name", "is given twice", "rename or remove one of the two");
+            "name", "is a duplicate", "rename or remove one of the two");
     }
 }
 
@@ -29,14 +29,13 @@
     } else if (role == "decode") {
         into = model::engine_role::decode;
     } else {
-        from.add_fault("role",
-                       "is not a role of an engine",
-                       "write mixed, prefill or decode");
+        from.add_fault(
+            "role", "is not an engine role", "use mixed, prefill or decode");
     }
 }
 
 void read_engine(object_reader& from,
-                 std::set<std::string>& taken,
+                 std::set<std::string>& seen_names,
                  model::upstream_list& into)
 {
     model::engine item;
@@ -49,12 +48,12 @@
     from.read_count("slots", item.slots, 0);
     from.read_boolean("checks_fencing", item.checks_fencing);
     from.read_boolean("leaving", item.leaving);
-    refuse_twice(from, taken, item.name);
+    check_unique_name(from, seen_names, item.name);
     into.engines.push_back(std::move(item));
 }
 
 void read_service(object_reader& from,
-                  std::set<std::string>& taken,
+                  std::set<std::string>& seen_names,
                   model::upstream_list& into)
 {
     model::service_instance item;
@@ -64,7 +63,7 @@
     from.require_name("data_centre", item.data_centre);
     from.require_endpoint("address", item.address);
     from.read_boolean("leaving", item.leaving);
-    refuse_twice(from, taken, item.name);
+    check_unique_name(from, seen_names, item.name);
     into.services.push_back(std::move(item));
 }
 
@@ -79,15 +78,15 @@
     if (!root) {
         return list;
     }
-    std::set<std::string> taken;
-    object_reader top(*root, file, "", faults);
-    top.read_objects("engines", [&](object_reader& item) {
-        read_engine(item, taken, list);
+    std::set<std::string> seen_names;
+    object_reader root_reader(*root, file, "", faults);
+    root_reader.read_objects("engines", [&](object_reader& item) {
+        read_engine(item, seen_names, list);
     });
-    top.read_objects("services", [&](object_reader& item) {
-        read_service(item, taken, list);
+    root_reader.read_objects("services", [&](object_reader& item) {
+        read_service(item, seen_names, list);
     });
-    top.report_unknown_fields();
+    root_reader.report_unknown_fields();
     return list;
 }
 
--- a/src/lists/parse_upstreams.hpp
+++ b/src/lists/parse_upstreams.hpp
@@ -10,9 +10,9 @@
 
 namespace caperjunction::lists {
 
-/// Fills the platform's list of upstreams from its JSON text, and appends every
-/// fault found to `faults`; the result may be used only if none was appended.
-/// The revision is the publisher's and stays 0. Thread safety: no shared state.
+/// Parses the platform's list of upstreams and appends every fault found to
+/// `faults`. The result may be used only if none was appended. The revision is
+/// assigned by the publisher and stays 0. Thread safety: no shared state.
 model::upstream_list parse_upstreams(std::string_view text,
                                      std::string const& file,
                                      std::vector<fault>& faults);
--- a/src/lists/plan.hpp
+++ b/src/lists/plan.hpp
@@ -7,7 +7,7 @@
 
 namespace caperjunction::lists {
 
-/// Bounds on what one team may ask for; 0 means no bound.
+/// Usage limits of one team; 0 means unlimited.
 struct usage_limits
 {
     double requests_per_second = 0.0;
@@ -17,11 +17,11 @@
     friend bool operator==(usage_limits const&, usage_limits const&) = default;
 };
 
-/// What a customer buys: classes of service and limits for each team.
+/// Service classes and per-team limits that a customer buys.
 struct plan
 {
     std::string name;
-    /// Classes that a caller may name; the first is the default.
+    /// Service classes that a caller may request; the first is the default.
     std::vector<std::string> classes;
     usage_limits team_limits;
 
--- a/src/lists/plan_list.hpp
+++ b/src/lists/plan_list.hpp
@@ -11,10 +11,11 @@
 
 namespace caperjunction::lists {
 
-/// The first of the operators' two lists: who has which plan.
+/// First of the two lists maintained by operators: tiers, service classes,
+/// plans and the customers that hold them.
 struct plan_list
 {
-    /// Given by the platform at publishing; not part of the text.
+    /// Assigned by the platform on publication; not part of the JSON text.
     std::uint64_t revision = 0;
     std::vector<tier> tiers;
     std::vector<service_class> classes;
--- a/src/lists/service_class.hpp
+++ b/src/lists/service_class.hpp
@@ -8,20 +8,20 @@
 
 namespace caperjunction::lists {
 
-/// A kind of work with one latency target and one promise.
+/// Latency targets, promised attainment and limits of one kind of work.
 struct service_class
 {
     std::string name;
     std::string tier;
-    /// Target for the time from arrival to the first token.
+    /// Target for the time from arrival to first token.
     model::milliseconds first_token_target{490};
-    /// Target for the mean time between tokens.
+    /// Target for the mean time between tokens of one answer.
     model::milliseconds inter_token_target{42};
-    /// Share of requests that the plan promises to be within both, 0..1.
+    /// Promised share of requests that meet both targets, 0..1.
     double promised_attainment = 0.95;
-    /// A request that has waited this long is refused, with `Retry-After`.
+    /// Maximum queueing time; then the request is refused with `Retry-After`.
     model::milliseconds max_wait{30'000};
-    /// Bound on the output that a request of this class may ask for.
+    /// Maximum output tokens that a request of this class may ask for.
     std::uint32_t max_output_tokens = 4096;
     /// Retries allowed per first attempt, 0..1.
     double retry_ratio = 0.1;
--- a/src/lists/text_validation.hpp
+++ b/src/lists/text_validation.hpp
@@ -5,19 +5,20 @@
 
 namespace caperjunction::lists {
 
-/// Whether the text may be a name: 1 to 64 letters, digits, or - _ . :
-/// Names become log values, metric labels and parts of paths.
-/// Thread safety of these: no shared state.
+/// Returns whether the text is a valid name: 1 to 64 letters, digits, or
+/// - _ . : Names are used in log values, metric labels and paths.
+/// Thread safety of all functions here: no shared state.
 bool is_name(std::string const& text);
 
-/// Whether it holds lower-case hex digits alone.
+/// Returns whether the text consists of lower-case hex digits.
 bool is_hex(std::string const& text);
 
-/// Whether it is an IPv4 or IPv6 address in numbers.
+/// Returns whether the text is a numeric IPv4 or IPv6 address.
 bool is_numeric_address(std::string const& text);
 
-/// What may be shown of a field that some list names: a fault goes into logs,
-/// where a long or many-lined text would hide or forge others.
+/// Truncates a field name from a list to 64 characters and replaces characters
+/// that are invalid in names by `?`. Faults are logged, where a long or
+/// multi-line name could hide or forge log lines.
 std::string sanitize_field_name(std::string const& field);
 
 } // namespace caperjunction::lists
--- a/src/lists/tier.hpp
+++ b/src/lists/tier.hpp
@@ -6,12 +6,12 @@
 
 namespace caperjunction::lists {
 
-/// A rank of service. Rank 0 is the highest.
+/// Priority level of service classes. Rank 0 is the highest.
 struct tier
 {
     std::string name;
     std::uint32_t rank = 0;
-    /// Share of capacity that this tier gets under full saturation, 0..1.
+    /// Share of capacity guaranteed to this tier under saturation, 0..1.
     double guaranteed_share = 0.0;
 
     friend bool operator==(tier const&, tier const&) = default;
--- a/tests/fuzz/entitlements.cpp
+++ b/tests/fuzz/entitlements.cpp
@@ -1,5 +1,5 @@
-// Any bytes, read as the list of entitlements: no crash, and each fault says
-// what mends it.
+// Parses arbitrary bytes as the list of entitlements. Nothing crashes, each
+// fault has a remedy, and no fault's path contains a line break.
 #include "lists/check.hpp"
 #include "lists/parse.hpp"
 
@@ -9,7 +9,7 @@
 
 using namespace caperjunction;
 
-// NOLINTNEXTLINE(readability-identifier-naming): libFuzzer's name.
+// NOLINTNEXTLINE(readability-identifier-naming): name required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(std::uint8_t const* data,
                                       std::size_t size)
 {
--- a/tests/fuzz/plans.cpp
+++ b/tests/fuzz/plans.cpp
@@ -1,5 +1,5 @@
-// Any bytes, read as the list of plans: no crash, and what is taken passes
-// the checks or is told what is wrong.
+// Parses arbitrary bytes as the list of plans and checks the result. Nothing
+// crashes, each fault has a remedy, and no fault's path contains a line break.
 #include "lists/check.hpp"
 #include "lists/parse.hpp"
 
@@ -9,7 +9,7 @@
 
 using namespace caperjunction;
 
-// NOLINTNEXTLINE(readability-identifier-naming): libFuzzer's name.
+// NOLINTNEXTLINE(readability-identifier-naming): name required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(std::uint8_t const* data,
                                       std::size_t size)
 {
--- a/tests/fuzz/upstreams.cpp
+++ b/tests/fuzz/upstreams.cpp
@@ -1,5 +1,5 @@
-// Any bytes, read as the platform's list of upstreams: no crash, and what is
-// taken without a fault is complete.
+// Parses arbitrary bytes as the platform's list of upstreams. Nothing crashes,
+// and each upstream of a list without faults has a name and a port.
 #include "lists/parse_upstreams.hpp"
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 using namespace caperjunction;
 
-// NOLINTNEXTLINE(readability-identifier-naming): libFuzzer's name.
+// NOLINTNEXTLINE(readability-identifier-naming): name required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(std::uint8_t const* data,
                                       std::size_t size)
 {
--- a/tests/house/documentation_test.cpp
+++ b/tests/house/documentation_test.cpp
@@ -10,7 +10,7 @@
 
 using names = std::set<std::string>;
 
-/// The part of the operators' page under one heading.
+/// Returns the section of the operators' page under one heading.
 std::string page_section(std::string const& heading)
 {
     std::string const page = house::read_text("docs/OPERATING.md");
@@ -19,13 +19,13 @@
     return page.substr(begin, page.find("\n## ", begin + 1) - begin);
 }
 
-/// The names in the first column of that part's table.
+/// Returns the names in the first column of the section's table.
 names page_names(std::string const& heading)
 {
     return house::find_all(page_section(heading), "\n\\| `(?:--)?(\\w+)` \\|");
 }
 
-names in_sources(char const* expression)
+names find_in_sources(char const* expression)
 {
     names found;
     for (house::source_file const& file : house::read_sources("src")) {
@@ -34,67 +34,70 @@
     return found;
 }
 
-names in_described(char const* expression)
+names find_in_described(char const* expression)
 {
     return house::find_all(house::read_text("src/program/described.cpp"),
                            expression);
 }
 
-void check_within(names const& inner, names const& outer, char const* message)
+void check_subset(names const& subset,
+                  names const& superset,
+                  char const* message)
 {
-    CHECK(!inner.empty());
-    for (std::string const& name : inner) {
+    CHECK(!subset.empty());
+    for (std::string const& name : subset) {
         CAPTURE(name);
-        CHECK_MESSAGE(outer.count(name) == 1, message);
+        CHECK_MESSAGE(superset.count(name) == 1, message);
     }
 }
 
-void check_same(names const& code, names const& page)
+void check_equal(names const& code, names const& page)
 {
-    check_within(code, page, "is not on docs/OPERATING.md");
-    check_within(page, code, "is on docs/OPERATING.md and not in src");
+    check_subset(code, page, "is not listed in docs/OPERATING.md");
+    check_subset(
+        page, code, "is listed in docs/OPERATING.md but not found in src");
 }
 
 } // namespace
 
-TEST_CASE("the operators' page names the flags that there are")
+TEST_CASE("the operators' page lists exactly the existing flags")
 {
-    check_same(in_sources("ABSL_FLAG\\(\\s*[\\w:<>]+,\\s*(\\w+),"),
-               page_names("Flags"));
+    check_equal(find_in_sources("ABSL_FLAG\\(\\s*[\\w:<>]+,\\s*(\\w+),"),
+                page_names("Flags"));
 }
 
-TEST_CASE("the operators' page names each flag's twin in the environment")
+TEST_CASE("the operators' page lists each flag's environment variable")
 {
-    names twins;
-    for (std::string twin : page_names("Flags")) {
-        for (char& c : twin) {
+    names variables;
+    for (std::string variable : page_names("Flags")) {
+        for (char& c : variable) {
             c = static_cast<char>(std::toupper(static_cast<unsigned char>(c)));
         }
-        twins.insert(twin);
+        variables.insert(variable);
     }
-    check_same(twins,
-               house::find_all(page_section("Flags"),
-                               "\\| `CAPERJUNCTION_(\\w+)` \\|"));
+    check_equal(variables,
+                house::find_all(page_section("Flags"),
+                                "\\| `CAPERJUNCTION_(\\w+)` \\|"));
 }
 
-TEST_CASE("the operators' page names the log events that there are")
+TEST_CASE("the operators' page lists exactly the existing log events")
 {
     names events =
-        in_sources("log_line(?:\\s+const)?(?:\\s+\\w+)?\\(\\s*\"(\\w+)\"");
-    events.merge(in_described("return \\{\\s*\"(\\w+)\","));
-    events.merge(in_sources("return \"(host_\\w+)\";"));
-    check_same(events, page_names("Log events"));
+        find_in_sources("log_line(?:\\s+const)?(?:\\s+\\w+)?\\(\\s*\"(\\w+)\"");
+    events.merge(find_in_described("return \\{\\s*\"(\\w+)\","));
+    events.merge(find_in_sources("return \"(host_\\w+)\";"));
+    check_equal(events, page_names("Log events"));
 }
 
-TEST_CASE("the operators' page names the keys of log events that there are")
+TEST_CASE("the operators' page lists exactly the existing log keys")
 {
-    names keys = in_sources("\\.field\\(\\s*\"(\\w+)\"");
-    keys.merge(in_described("(?:\\{|\n *)\\{\"(\\w+)\","));
-    check_same(keys, page_names("Log keys"));
+    names keys = find_in_sources("\\.field\\(\\s*\"(\\w+)\"");
+    keys.merge(find_in_described("(?:\\{|\n *)\\{\"(\\w+)\","));
+    check_equal(keys, page_names("Log keys"));
 }
 
-TEST_CASE("the operators' page names the metrics that there are")
+TEST_CASE("the operators' page lists exactly the existing metrics")
 {
-    check_same(in_sources("\"(caperjunction_[a-z_]+)\""),
-               page_names("Metrics"));
+    check_equal(find_in_sources("\"(caperjunction_[a-z_]+)\""),
+                page_names("Metrics"));
 }
--- a/tests/house/layout_test.cpp
+++ b/tests/house/layout_test.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Which folders of src each of them may include; docs/DESIGN.md says why.
+/// Folders of src that each folder may include; see docs/DESIGN.md for the
+/// reasons.
 std::map<std::string, std::set<std::string>> const allowed_includes{
     {"model", {"model"}},
     {"lists", {"model", "lists"}},
@@ -32,7 +33,7 @@
     {"routing", {"model", "routing"}},
     {"proxy", {"model", "routing", "runtime", "proxy"}}};
 
-/// The folder of a path such as src/lists/parse.cpp.
+/// Returns the folder below src, e.g. lists for src/lists/parse.cpp.
 std::string folder_of(std::string const& path)
 {
     auto const begin = path.find('/') + 1;
@@ -40,23 +41,24 @@
     return end == std::string::npos ? "" : path.substr(begin, end - begin);
 }
 
-std::string guard_of(std::string const& path)
+std::string expected_guard(std::string const& path)
 {
     constexpr std::size_t prefix = 4;
     std::string guard =
         path.compare(0, prefix, "src/") == 0 ? path.substr(prefix) : path;
     std::transform(guard.begin(), guard.end(), guard.begin(), [](char c) {
-        bool const is_word = std::isalnum(static_cast<unsigned char>(c)) != 0;
-        return is_word ? static_cast<char>(std::toupper(c)) : '_';
+        bool const is_alphanumeric =
+            std::isalnum(static_cast<unsigned char>(c)) != 0;
+        return is_alphanumeric ? static_cast<char>(std::toupper(c)) : '_';
     });
     return "CAPERJUNCTION_" + guard;
 }
 
 } // namespace
 
-TEST_CASE("folders include only what stands below them")
+TEST_CASE("folders include only their allowed dependencies")
 {
-    std::size_t seen = 0;
+    std::size_t include_count = 0;
     for (house::source_file const& file : house::read_sources("src")) {
         std::string const folder = folder_of(file.path);
         if (folder.empty()) {
@@ -68,13 +70,13 @@
              house::find_all(file.text, "#include \"([a-z_]+)/[^\"]+\"")) {
             CAPTURE(included);
             CHECK(allowed_includes.at(folder).count(included) == 1);
-            ++seen;
+            ++include_count;
         }
     }
-    CHECK(seen > 0);
+    CHECK(include_count > 0);
 }
 
-TEST_CASE("decisions and the fleet touch no socket, clock, thread or log")
+TEST_CASE("decide, fleet and routing use no socket, clock, thread or log")
 {
     for (char const* const folder :
          {"src/decide", "src/fleet", "src/routing"}) {
@@ -90,7 +92,7 @@
     }
 }
 
-TEST_CASE("each header is guarded by the name of its file")
+TEST_CASE("the include guard of each header matches its path")
 {
     for (char const* const root : {"src", "stand_ins", "platform"}) {
         for (house::source_file const& file : house::read_sources(root)) {
@@ -98,38 +100,40 @@
                 continue;
             }
             CAPTURE(file.path);
-            std::string const guard = guard_of(file.path);
+            std::string const guard = expected_guard(file.path);
             CHECK(file.text.find("#ifndef " + guard + '\n')
                   != std::string::npos);
         }
     }
 }
 
-// A header is copied and keeps its guard. Whoever includes both gets only the
-// first, and the compiler complains about the second's names elsewhere.
-TEST_CASE("no two headers share a guard")
+// A header is copied and keeps its include guard. A file that includes both
+// gets only the first, and the compiler reports undeclared names far from the
+// cause.
+TEST_CASE("include guards are unique")
 {
-    std::set<std::string> taken;
+    std::set<std::string> guards;
     for (char const* const root :
          {"src", "stand_ins", "bench", "tests", "platform"}) {
         for (house::source_file const& file : house::read_sources(root)) {
             for (std::string const& guard :
                  house::find_all(file.text, "#ifndef (CAPERJUNCTION_\\w+)")) {
                 CAPTURE(file.path);
-                CHECK(taken.insert(guard).second);
+                CHECK(guards.insert(guard).second);
             }
         }
     }
-    CHECK(!taken.empty());
+    CHECK(!guards.empty());
 }
 
 TEST_CASE("no file is longer than 300 lines")
 {
-    constexpr std::ptrdiff_t most = 300;
+    constexpr std::ptrdiff_t max_lines = 300;
     for (char const* const root : {"src", "stand_ins", "bench", "platform"}) {
         for (house::source_file const& file : house::read_sources(root)) {
             CAPTURE(file.path);
-            CHECK(std::count(file.text.begin(), file.text.end(), '\n') <= most);
+            CHECK(std::count(file.text.begin(), file.text.end(), '\n')
+                  <= max_lines);
         }
     }
 }
--- a/tests/house/source_tree.hpp
+++ b/tests/house/source_tree.hpp
@@ -7,21 +7,21 @@
 
 namespace caperjunction::house {
 
-/// A file of the tree, read whole.
+/// Path and complete text of a source file.
 struct source_file
 {
-    /// From the tree's root, e.g. src/lists/parse.cpp.
+    /// Relative to the root of the tree, e.g. src/lists/parse.cpp.
     std::string path;
     std::string text;
 };
 
-/// All C++ files below a folder of the tree, without generated ones.
+/// Returns all C++ files below a folder of the tree except generated ones.
 std::vector<source_file> read_sources(std::string const& folder);
 
-/// Empty if there is no such file.
+/// Returns the text of a file, or an empty text if the file does not exist.
 std::string read_text(std::string const& path);
 
-/// The first group of each match of a regular expression.
+/// Returns the first group of each match of a regular expression.
 std::set<std::string> find_all(std::string const& text, char const* expression);
 
 } // namespace caperjunction::house
--- a/tests/lists/bad_input_test.cpp
+++ b/tests/lists/bad_input_test.cpp
@@ -45,24 +45,25 @@
            + R"("}]}]}]})";
 }
 
-std::string const good_salt(16, 'a');
-std::string const good_hash(64, 'b');
+std::string const valid_salt(16, 'a');
+std::string const valid_hash(64, 'b');
 
 } // namespace
 
-// An editor's merge leaves a field in an object twice. Programs differ on
-// which of the two they take; the operator would see one and get the other.
-TEST_CASE("a field given twice is a fault at its place")
+// A text merge leaves a field in an object twice. JSON parsers differ on which
+// of the two values they use, so that the value in effect could differ from the
+// one that the operator sees.
+TEST_CASE("a duplicate field is a fault with the field's path")
 {
     auto const faults = plan_faults(
         R"({"tiers": [{"name": "a"}, {"name": "b", "rank": 0, "rank": 1}]})");
     REQUIRE(faults.size() == 1);
     CHECK(faults[0].path == "/tiers/1/rank");
-    CHECK(faults[0].message == "is given twice");
+    CHECK(faults[0].message == "is a duplicate");
 }
 
-// A generator of lists writes a broken number, such as an infinite share. In
-// force, it would make one tier's share swallow all others'.
+// A list generator writes an invalid number, such as an infinite share. If
+// applied, one tier's share would displace the shares of all other tiers.
 TEST_CASE("numbers out of range are faults")
 {
     for (char const* const share :
@@ -81,9 +82,9 @@
     CHECK(plan_faults(class_with("promised_attainment", "NaN")).size() == 1);
 }
 
-// A list is cut off in transfer, or is no list at all. The router must say so
-// and keep what is in force.
-TEST_CASE("what is not a list is a fault and not a crash")
+// A list is truncated in transfer or is no list at all. The router must report
+// the fault and keep the lists in effect.
+TEST_CASE("a text that is not a list is a fault and not a crash")
 {
     for (char const* const text :
          {"", "{", "null", "[]", "3", "{\"tiers\": {}}", "\xff\xfe"}) {
@@ -96,31 +97,31 @@
     CHECK(plan_faults(large)[0].message == "is larger than 1 MiB");
 }
 
-// Brackets without end would use up a parser's memory or stack.
+// Unlimited nesting would exhaust the parser's memory or stack.
 TEST_CASE("deep nesting is one fault")
 {
-    std::string const half = std::string(200'000, '[');
-    std::string const deep = half + std::string(200'000, ']');
-    REQUIRE(plan_faults(deep).size() == 1);
-    CHECK(plan_faults(deep)[0].message == "is nested too deeply");
+    std::string const opening = std::string(200'000, '[');
+    std::string const nested = opening + std::string(200'000, ']');
+    REQUIRE(plan_faults(nested).size() == 1);
+    CHECK(plan_faults(nested)[0].message == "is nested too deeply");
 }
 
-// A key in clear, or a hash cut short by a paste, would lock its team out
-// without a word, or show the key to every reader of the list.
+// A hash truncated by copy and paste would lock its team out without a message;
+// a key in plain text would be visible to all readers of the list.
 TEST_CASE("a key entry that cannot match any key is a fault")
 {
-    CHECK(plan_faults(key_with("k", good_salt, good_hash)).empty());
-    CHECK(plan_faults(key_with("k", "", good_hash)).size() == 1);
-    CHECK(plan_faults(key_with("k", "abc", good_hash)).size() == 1);
-    CHECK(plan_faults(key_with("k", good_salt, "b")).size() == 1);
-    CHECK(plan_faults(key_with("k", good_salt, std::string(64, 'B'))).size()
+    CHECK(plan_faults(key_with("k", valid_salt, valid_hash)).empty());
+    CHECK(plan_faults(key_with("k", "", valid_hash)).size() == 1);
+    CHECK(plan_faults(key_with("k", "abc", valid_hash)).size() == 1);
+    CHECK(plan_faults(key_with("k", valid_salt, "b")).size() == 1);
+    CHECK(plan_faults(key_with("k", valid_salt, std::string(64, 'B'))).size()
           == 1);
-    CHECK(plan_faults(key_with("a.b", good_salt, good_hash)).size() == 1);
+    CHECK(plan_faults(key_with("a.b", valid_salt, valid_hash)).size() == 1);
 }
 
-// Names from lists end up in log lines; a line break in one would let an
-// entry forge a line.
-TEST_CASE("no fault carries a control character or a very long name")
+// Names from lists are written to log lines. A line break in a name would allow
+// an entry to forge a line.
+TEST_CASE("no fault contains a control character or a very long name")
 {
     auto const faults = plan_faults("{\"a\\nevent=forged\": 1, \""
                                     + std::string(5000, 'x') + "\": 2}");
@@ -132,17 +133,17 @@
     }
 }
 
-TEST_CASE("a list of nothing but faults keeps a bounded number of them")
+TEST_CASE("the number of faults kept for one list is bounded")
 {
     std::string text = "{";
-    for (int place = 0; place < 2000; ++place) {
-        text += "\"f" + std::to_string(place) + "\": 1,";
+    for (int index = 0; index < 2000; ++index) {
+        text += "\"f" + std::to_string(index) + "\": 1,";
     }
     text.back() = '}';
     CHECK(plan_faults(text).size() == 500);
 }
 
-TEST_CASE("a call of a service needs a known method and an absolute path")
+TEST_CASE("a service call needs a supported method and an absolute path")
 {
     CHECK(entitlement_faults(R"({"services": [{"name": "s", "calls": [
         {"method": "FETCH", "path_prefix": "entries"}]}]})")
@@ -150,7 +151,7 @@
           == 2);
 }
 
-TEST_CASE("an entitlement given twice for a plan is a fault")
+TEST_CASE("a second entitlement for the same plan is a fault")
 {
     lists::plan_list plans;
     plans.tiers.push_back({"top", 0, 0.5});
@@ -166,17 +167,17 @@
     CHECK(faults[0].path == "/entitlements/1/plan");
 }
 
-// The home region of a service is misspelt. Its claims would have no host to
-// be kept at, and every booking would be refused.
-TEST_CASE("the offline check tells what the platform does not list")
+// The home region of a service is misspelt. Claims would have no host that
+// stores them, and every booking would be refused.
+TEST_CASE("the offline check reports entries that the platform does not list")
 {
     lists::entitlement_list entitlements;
     entitlements.models.push_back({"m", 100});
     entitlements.services.push_back({"booking", "kolkatta", {}});
     model::host_list hosts;
-    model::host only;
-    only.region = "kolkata";
-    hosts.members.push_back(only);
+    model::host host;
+    host.region = "kolkata";
+    hosts.members.push_back(host);
     auto const faults = lists::check_deployment(entitlements, hosts, {});
     REQUIRE(faults.size() == 3);
     CHECK(faults[0].path == "/models/0/name");
@@ -184,7 +185,7 @@
     CHECK(faults[2].path == "/services/0/home_region");
 }
 
-TEST_CASE("a host needs a numeric address, a port and a name of its own")
+TEST_CASE("a host needs a numeric address, a port and a unique name")
 {
     std::vector<lists::fault> faults;
     lists::parse_hosts(R"({"hosts": [
@@ -218,9 +219,9 @@
     CHECK(found.engines[0].role == model::engine_role::decode);
 }
 
-TEST_CASE("any text at all is parsed or refused")
+TEST_CASE("any text is parsed or rejected")
 {
-    CHECK(rc::check("no text makes the parser fail", [] {
+    CHECK(rc::check("no text crashes the parser", [] {
         auto const text = *rc::gen::container<std::string>(
             rc::gen::elementOf(std::string("{}[]\",:0123456789.eE-+ntrufals\\ "
                                            "abc\n\xc3\xa9")));
--- a/tests/lists/diff_test.cpp
+++ b/tests/lists/diff_test.cpp
@@ -18,14 +18,14 @@
 
 } // namespace
 
-TEST_CASE("a list does not differ from itself, whatever its revision")
+TEST_CASE("a list does not differ from a copy with another revision")
 {
     auto later = make_plans();
     later.revision = 7;
     CHECK(lists::diff(make_plans(), later).empty());
 }
 
-TEST_CASE("each entry added, removed or altered is named once")
+TEST_CASE("each added, removed or altered entry is reported once")
 {
     auto const before = make_plans();
     auto after = before;
@@ -40,7 +40,7 @@
     CHECK(lists::diff(before, after) == expected);
 }
 
-TEST_CASE("a call that may be repeated no longer shows as its service")
+TEST_CASE("a call that is no longer repeatable alters its service")
 {
     lists::entitlement_list before;
     before.services = {{"booking", "", {{"POST", "/entries", true}}}};
--- a/tests/lists/examples_test.cpp
+++ b/tests/lists/examples_test.cpp
@@ -56,25 +56,25 @@
     model::upstream_list upstreams;
 };
 
-void check_faultless(example const& shown)
+void check_no_faults(example const& loaded)
 {
-    CHECK(shown.faults.empty());
-    CHECK(lists::check(shown.plans, shown.entitlements).empty());
+    CHECK(loaded.faults.empty());
+    CHECK(lists::check(loaded.plans, loaded.entitlements).empty());
     CHECK(lists::check_deployment(
-              shown.entitlements, shown.hosts, shown.upstreams)
+              loaded.entitlements, loaded.hosts, loaded.upstreams)
               .empty());
 }
 
-void check_size(example const& shown, std::size_t engines)
+void check_size(example const& loaded, std::size_t engines)
 {
-    CHECK(shown.hosts.members.size() == 7);
-    CHECK(shown.upstreams.engines.size() == engines);
-    CHECK(shown.upstreams.services.size() == 3);
-    CHECK(shown.teams() == 10);
+    CHECK(loaded.hosts.members.size() == 7);
+    CHECK(loaded.upstreams.engines.size() == engines);
+    CHECK(loaded.upstreams.services.size() == 3);
+    CHECK(loaded.teams() == 10);
 }
 
-/// The keys in a README's table: the last column, between backticks.
-std::vector<std::string> shown_keys(std::string const& folder)
+/// Returns the keys in a README's table: last column, between backticks.
+std::vector<std::string> documented_keys(std::string const& folder)
 {
     std::vector<std::string> keys;
     std::istringstream text(read_example(folder + "/README.md"));
@@ -94,27 +94,27 @@
 
 } // namespace
 
-TEST_CASE("the example of Kitanomine is without faults and of its size")
+TEST_CASE("the Kitanomine example has no faults and the expected size")
 {
-    example const shown("kitanomine");
-    check_faultless(shown);
-    check_size(shown, 12);
+    example const loaded("kitanomine");
+    check_no_faults(loaded);
+    check_size(loaded, 12);
 }
 
-TEST_CASE("the example of Gangasagar is without faults and of its size")
+TEST_CASE("the Gangasagar example has no faults and the expected size")
 {
-    example const shown("gangasagar");
-    check_faultless(shown);
-    check_size(shown, 9);
+    example const loaded("gangasagar");
+    check_no_faults(loaded);
+    check_size(loaded, 9);
 }
 
-TEST_CASE("every key that an example shows opens its team and no other")
+TEST_CASE("every key in an example identifies its team and no other")
 {
     for (char const* const folder : {"kitanomine", "gangasagar"}) {
-        example shown(folder);
-        lists::catalogue const catalogue(shown.plans, shown.entitlements);
-        auto const keys = shown_keys(folder);
-        std::size_t opened = 0;
+        example loaded(folder);
+        lists::catalogue const catalogue(loaded.plans, loaded.entitlements);
+        auto const keys = documented_keys(folder);
+        std::size_t identified = 0;
         for (std::string const& key : keys) {
             lists::identity const holder = catalogue.identify(key);
             CAPTURE(key);
@@ -123,8 +123,8 @@
             CHECK(holder.plan != nullptr);
             CHECK(holder.entitlement != nullptr);
             CHECK(catalogue.identify(key + "x").team == nullptr);
-            ++opened;
+            ++identified;
         }
-        CHECK(opened == 10);
+        CHECK(identified == 10);
     }
 }
--- a/tests/lists/parse_test.cpp
+++ b/tests/lists/parse_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace caperjunction;
 
-TEST_CASE("a misspelt field is a fault that names its path and a remedy")
+TEST_CASE("a misspelt field is a fault with its path and a remedy")
 {
     std::vector<lists::fault> faults;
     lists::parse_plans(
@@ -16,7 +16,7 @@
     CHECK(faults[0].remedy == "correct its spelling or remove it");
 }
 
-TEST_CASE("all faults of a list are told at once")
+TEST_CASE("all faults of a list are reported at once")
 {
     std::vector<lists::fault> faults;
     auto const plans = lists::parse_plans(
@@ -28,7 +28,7 @@
     CHECK(faults.size() == 3);
 }
 
-TEST_CASE("a reference that leads nowhere is a fault")
+TEST_CASE("a reference to an undefined name is a fault")
 {
     lists::plan_list plans;
     plans.tiers.push_back({"top", 0, 0.5});
