--- a/src/proxy/limit_notices.cpp
+++ b/src/proxy/limit_notices.cpp
@@ -7,10 +7,10 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// The others hear of an answer within a second; told for much longer, since
-/// hosts come and go.
-constexpr model::milliseconds told_for{60'000};
-constexpr std::size_t most_told = 64;
+/// Other hosts receive a limit within a second. It is advertised for much
+/// longer because hosts come and go.
+constexpr model::milliseconds advertised_for{60'000};
+constexpr std::size_t max_advertised = 64;
 constexpr int misdirected = 421;
 
 void apply(relay_context& context,
@@ -36,7 +36,7 @@
     auto const end = text.data() + text.size();
     auto const read = std::from_chars(text.data(), end, value);
     bool const is_number = read.ec == std::errc() && read.ptr == end;
-    // Too large for a double is as good as no limit.
+    // A value that is too large for a double is equivalent to no limit.
     if (read.ec == std::errc::result_out_of_range && read.ptr == end) {
         return std::numeric_limits<double>::max();
     }
@@ -52,23 +52,23 @@
     if (answer.status == misdirected) {
         return;
     }
-    std::string const* const line = answer.find(context.names.request_limit);
+    std::string const* const value = answer.find(context.names.request_limit);
     std::optional<double> requests_per_second;
-    if (line != nullptr) {
-        requests_per_second = parse_request_limit(*line);
+    if (value != nullptr) {
+        requests_per_second = parse_request_limit(*value);
         if (!requests_per_second) {
-            // What held before holds on: it is in need, and how much is
-            // unknown.
+            // The previous limit stays in force: the upstream is overloaded,
+            // and its new limit is unknown.
             if (context.on_limit_unreadable) {
-                context.on_limit_unreadable(from, *line);
+                context.on_limit_unreadable(from, *value);
             }
             return;
         }
     }
-    bool const has_worked = answer.find(context.names.seal) != nullptr;
-    bool const says_end =
-        !requests_per_second && has_worked && from.limit.is_limited();
-    if (requests_per_second || says_end) {
+    bool const has_run = answer.find(context.names.seal) != nullptr;
+    bool const has_ended =
+        !requests_per_second && has_run && from.limit.is_limited();
+    if (requests_per_second || has_ended) {
         from.own_limit = {requests_per_second, context.loop.now()};
         apply(context, from, from.own_limit);
     }
@@ -77,10 +77,10 @@
 void apply_advertised_limits(relay_context& context)
 {
     context.directory.each([&context](routing::upstream_state& state) {
-        auto const told = context.peers.limit_of(
+        auto const advertised = context.peers.limit_of(
             routing::upstream_load_key(state.description.id));
-        if (told || state.limit.is_limited()) {
-            apply(context, state, told.value_or(routing::limit_notice{}));
+        if (advertised || state.limit.is_limited()) {
+            apply(context, state, advertised.value_or(routing::limit_notice{}));
         }
     });
 }
@@ -94,8 +94,8 @@
         routing::limit_notice const& own = state.own_limit;
         auto const age = std::chrono::duration_cast<model::milliseconds>(
             now - own.received_at);
-        bool const was_said = own.received_at != model::time_point{};
-        if (was_said && age < told_for && list.size() < most_told) {
+        bool const is_set = own.received_at != model::time_point{};
+        if (is_set && age < advertised_for && list.size() < max_advertised) {
             list.push_back({routing::upstream_load_key(state.description.id),
                             own.requests_per_second,
                             age});
--- a/src/proxy/store_reader.hpp
+++ b/src/proxy/store_reader.hpp
@@ -15,36 +15,37 @@
 
 namespace caperjunction::proxy {
 
-/// How a call to the store failed.
+/// How a request to the store failed.
 struct store_failure
 {
     std::string_view reason;
-    /// range or watch.
+    /// Kind of request: range or watch.
     std::string_view call;
-    /// How far the answer had come.
+    /// Progress of the answer.
     get_progress progress;
 };
 
-/// What a reader tells its owner.
+/// Callbacks of a reader.
 struct store_hooks
 {
     std::function<void(store_item const&)> on_item;
-    /// The whole prefix was read anew; these keys are there.
+    /// The complete prefix has been read again. `keys` are all keys that exist.
     std::function<void(std::vector<std::string> const& keys)> on_complete;
-    /// The store has told all changes up to `revision`, and had no others as
-    /// of `as_of` (the clock that counts suspended time).
+    /// All changes up to `revision` have been received, and the store had no
+    /// others as of `as_of` (clock that includes suspended time).
     std::function<void(model::time_point as_of, std::uint64_t revision)>
         on_confirmed;
     std::function<void(store_failure const&)> on_lost;
     std::function<void()> on_regained;
 };
 
-/// Follows one prefix of the platform's store: reads it whole, then watches.
+/// Replicates one prefix of the platform's store: reads it completely, then
+/// watches it.
 ///
-/// The store may be silent, slow, refuse this host alone, or forget the
-/// history that a watch would go on from. Each call has a timeout of its own,
-/// failures are tried again after a growing wait, and a forgotten history
-/// leads to a whole read.
+/// The store may be unresponsive, slow, refuse only this host, or discard the
+/// history that a watch needs. Each request has its own timeout, failures are
+/// retried with exponential back-off, and a discarded history triggers a
+/// complete read.
 ///
 /// Thread safety: none; owned by the loop's task.
 class store_reader
@@ -54,67 +55,68 @@
                  model::endpoint at,
                  store_codec const& codec,
                  std::string prefix,
-                 store_hooks call);
+                 store_hooks callbacks);
     ~store_reader();
     store_reader(store_reader const&) = delete;
     store_reader& operator=(store_reader const&) = delete;
 
-    /// Begins reading. `wait`: how long a watch waits for a change; what is
-    /// believed is confirmed that often.
+    /// Starts reading. `wait` is the time for which a watch waits for a change,
+    /// and thereby the interval at which the replicated state is confirmed.
     void start(model::milliseconds wait,
                std::function<model::time_point()> boot_now);
 
-    /// Changes how long a watch waits, from the next one on.
+    /// Sets the time for which a watch waits, starting with the next watch.
     void set_watch_wait(model::milliseconds wait);
 
-    /// Whether another watch follows the present one. A reader that rests
-    /// holds what it has; a first whole read is made in any case.
+    /// Sets whether another watch follows the current one. An idle reader keeps
+    /// its state. The first complete read is made in any case.
     void set_watching(bool on);
 
-    /// Asks once whether anything has changed, while it rests.
+    /// Polls the store once for changes, if the reader is idle.
     void poll_once();
 
-    /// All changes up to `revision` are known from elsewhere. While it rests,
-    /// the reader goes on from there: asked for what came before, the store
-    /// would tell of an upstream that peers have long said to be gone, and
-    /// not yet of its end.
+    /// Tells the reader that all changes up to `revision` were received from
+    /// peers. If idle, the reader continues from there. Polled from its own
+    /// older revision, the store would return the entry of an upstream that
+    /// peers have already reported as removed, and return the removal only with
+    /// the next poll.
     void skip_to(std::uint64_t revision);
 
 private:
-    void rest_or_watch();
+    void wait_or_watch();
     void read_page(std::string const& after_key);
     model::milliseconds next_wait() const;
     void watch();
-    void call(std::string const& target,
-              model::milliseconds limit,
-              std::function<void(int, std::string const&)> on_answer);
-    void take_page(int status, std::string const& body);
-    void take_changes(int status, std::string const& body);
-    void failed(std::string_view why);
-    void succeeded();
+    void send_request(std::string const& target,
+                      model::milliseconds limit,
+                      std::function<void(int, std::string const&)> on_answer);
+    void handle_page(int status, std::string const& body);
+    void handle_changes(int status, std::string const& body);
+    void handle_failure(std::string_view reason);
+    void handle_success();
 
     runtime::event_loop& m_loop;
     model::endpoint m_at;
     store_codec const& m_codec;
     std::string m_prefix;
-    store_hooks m_call;
-    model::milliseconds m_wait{0};
-    /// What the present watch asked for.
-    model::milliseconds m_asked_wait{0};
+    store_hooks m_hooks;
+    model::milliseconds m_watch_wait{0};
+    /// Wait that the current watch requested.
+    model::milliseconds m_requested_wait{0};
     std::function<model::time_point()> m_boot_now;
 
     http_get m_get;
-    runtime::timer_handle m_again;
+    runtime::timer_handle m_retry_timer;
     model::time_point m_sent_at{};
     model::time_point m_confirmed{};
     std::uint64_t m_revision = 0;
-    bool m_whole = false;
+    bool m_is_complete = false;
     bool m_keeps_watching = true;
-    bool m_is_resting = false;
-    bool m_looks_once = false;
+    bool m_is_idle = false;
+    bool m_polls_once = false;
     std::vector<std::string> m_keys;
     std::uint32_t m_failures = 0;
-    bool m_lost = false;
+    bool m_is_lost = false;
 };
 
 } // namespace caperjunction::proxy
--- a/src/proxy/text_packer.cpp
+++ b/src/proxy/text_packer.cpp
@@ -8,13 +8,13 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// A few milliseconds for some hundred kilobytes.
+/// Takes a few milliseconds for some hundred kilobytes.
 constexpr int compression_level = 3;
-/// Base and text have to lie in one window for matches to be found; 4 MB, as a
+/// Base and text must fit into one window for matches to be found; 4 MB, as a
 /// power of two.
 constexpr int window_log = 22;
 
-struct release
+struct context_deleter
 {
     void operator()(ZSTD_CCtx* context) const
     {
@@ -31,7 +31,8 @@
 
 std::string pack_text(std::string_view text, std::string_view base)
 {
-    std::unique_ptr<ZSTD_CCtx, release> const context(ZSTD_createCCtx());
+    std::unique_ptr<ZSTD_CCtx, context_deleter> const context(
+        ZSTD_createCCtx());
     if (!context) {
         throw std::bad_alloc();
     }
@@ -44,7 +45,7 @@
     std::string packed(ZSTD_compressBound(text.size()), '\0');
     std::size_t const size = ZSTD_compress2(
         context.get(), packed.data(), packed.size(), text.data(), text.size());
-    // The bound leaves room for any text: memory alone can be short.
+    // The buffer is large enough for any text, so only memory can be short.
     if (ZSTD_isError(size) != 0) {
         throw std::bad_alloc();
     }
@@ -52,15 +53,17 @@
     return packed;
 }
 
-std::optional<std::string>
-unpack_text(std::string_view packed, std::string_view base, std::size_t most)
+std::optional<std::string> unpack_text(std::string_view packed,
+                                       std::string_view base,
+                                       std::size_t max_bytes)
 {
     auto const size = ZSTD_getFrameContentSize(packed.data(), packed.size());
-    // The two special values, unknown and error, are larger than any size.
-    if (size > most) {
+    // The two special values, unknown and error, exceed any size.
+    if (size > max_bytes) {
         return std::nullopt;
     }
-    std::unique_ptr<ZSTD_DCtx, release> const context(ZSTD_createDCtx());
+    std::unique_ptr<ZSTD_DCtx, context_deleter> const context(
+        ZSTD_createDCtx());
     if (!context) {
         throw std::bad_alloc();
     }
@@ -68,9 +71,9 @@
         ZSTD_DCtx_refPrefix(context.get(), base.data(), base.size());
     }
     std::string text(size, '\0');
-    std::size_t const got = ZSTD_decompressDCtx(
+    std::size_t const written = ZSTD_decompressDCtx(
         context.get(), text.data(), text.size(), packed.data(), packed.size());
-    if (got != text.size()) {
+    if (written != text.size()) {
         return std::nullopt;
     }
     return text;
