--- a/src/program/bookings.cpp
+++ b/src/program/bookings.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // The relay gets a confirmed call within microseconds; if not, it slept.
-constexpr model::milliseconds relay_limit{2'000};
+constexpr model::milliseconds relay_start_timeout{2'000};
 
 bool names(model::host_list const& hosts, std::string const& name)
 {
@@ -42,18 +42,18 @@
 {
 }
 
-void bookings::tell_claimant(fleet::claimant_event const& event,
-                             model::time_point now)
+void bookings::handle_claimant_event(fleet::claimant_event const& event,
+                                     model::time_point now)
 {
     std::vector<fleet::claim_decision> decisions;
     m_claimant.handle(event, now, decisions);
     for (fleet::claim_decision const& made : decisions) {
-        carry_out(made, now);
+        execute(made, now);
     }
 }
 
-void bookings::tell_witness(fleet::witness_event const& event,
-                            model::time_point now)
+void bookings::handle_witness_event(fleet::witness_event const& event,
+                                    model::time_point now)
 {
     std::vector<fleet::claim_send> messages;
     m_witness.handle(event, now, messages);
@@ -74,7 +74,7 @@
     }
 }
 
-void bookings::list(model::host_list const& hosts, model::time_point now)
+void bookings::set_hosts(model::host_list const& hosts, model::time_point now)
 {
     // A host may start before the platform lists it. By a list without
     // itself it would take the votes of the first fleet for given out, and
@@ -85,24 +85,23 @@
     }
     auto const view =
         std::make_shared<fleet::claim_view const>(hosts, m_settings.claims);
-    tell_claimant(fleet::claim_view_listed{view}, now);
-    tell_witness(fleet::claim_view_listed{view}, now);
+    handle_claimant_event(fleet::claim_view_listed{view}, now);
+    handle_witness_event(fleet::claim_view_listed{view}, now);
 }
 
-void bookings::confirm(model::time_point as_of, model::time_point now)
+void bookings::confirm_hosts(model::time_point as_of, model::time_point now)
 {
-    tell_claimant(fleet::claim_view_confirmed{as_of}, now);
-    tell_witness(fleet::claim_view_confirmed{as_of}, now);
+    handle_claimant_event(fleet::claim_view_confirmed{as_of}, now);
+    handle_witness_event(fleet::claim_view_confirmed{as_of}, now);
 }
 
-void bookings::arrive(net::booking_arrived const& arrived,
-                      model::time_point now)
+void bookings::start(net::booking_arrived const& arrived, model::time_point now)
 {
     decide::request const& request = arrived.request;
     fleet::claim_key const key =
         fleet::make_claim_key(request.customer, arrived.idempotency_key);
-    m_waiting[request.id] = {request, key};
-    tell_claimant(
+    m_pending[request.id] = {request, key};
+    handle_claimant_event(
         fleet::claim_started{key, request.fingerprint, request.id.value}, now);
 }
 
@@ -111,29 +110,30 @@
                        model::time_point now)
 {
     if (auto const* query = std::get_if<fleet::answer_query>(&message)) {
-        give_answer(from, *query, now);
+        send_answer(from, *query, now);
     } else if (auto const* reply = std::get_if<fleet::answer_reply>(&message)) {
-        take_answer(*reply);
+        handle_answer(*reply);
     } else {
-        tell_claimant(fleet::claim_received{from, message}, now);
-        tell_witness(fleet::claim_received{from, message}, now);
+        handle_claimant_event(fleet::claim_received{from, message}, now);
+        handle_witness_event(fleet::claim_received{from, message}, now);
     }
 }
 
-void bookings::note_restart(std::string const& host, model::time_point now)
+void bookings::record_restart(std::string const& host, model::time_point now)
 {
-    tell_witness(fleet::claim_host_restarted{host}, now);
+    handle_witness_event(fleet::claim_host_restarted{host}, now);
 }
 
 void bookings::tick(model::time_point now)
 {
-    tell_claimant(fleet::claim_tick{}, now);
-    tell_witness(fleet::claim_tick{}, now);
+    handle_claimant_event(fleet::claim_tick{}, now);
+    handle_witness_event(fleet::claim_tick{}, now);
     m_answers.expire(now);
-    for (auto const& [id, call] : m_waiting) {
+    for (auto const& [id, call] : m_pending) {
         if (call.fetch_until != model::time_point{} && call.fetch_until < now) {
-            refuse_unknown(
-                id.value, fetch_retry, "the first run's host doesn't answer");
+            refuse_unknown(id.value,
+                           fetch_retry_after,
+                           "the first run's host doesn't answer");
         }
     }
 }
@@ -141,19 +141,19 @@
 std::optional<model::time_point> bookings::begin_dispatch(model::request_id id,
                                                           model::time_point now)
 {
-    auto const found = m_waiting.find(id);
-    if (found == m_waiting.end()
+    auto const found = m_pending.find(id);
+    if (found == m_pending.end()
         || !m_claimant.begin_dispatch(found->second.key, now)) {
         return std::nullopt;
     }
-    return now + relay_limit;
+    return now + relay_start_timeout;
 }
 
 void bookings::keep_answer(net::booking_answered const& answer,
                            model::time_point now)
 {
-    auto const found = m_waiting.find(answer.id);
-    if (found == m_waiting.end()) {
+    auto const found = m_pending.find(answer.id);
+    if (found == m_pending.end()) {
         return;
     }
     fleet::claim_key const key = found->second.key;
@@ -170,31 +170,30 @@
                    model::outcome outcome,
                    model::time_point now)
 {
-    auto const found = m_waiting.find(id);
-    if (found == m_waiting.end()) {
+    auto const found = m_pending.find(id);
+    if (found == m_pending.end()) {
         return;
     }
-    waiting_call const call = found->second;
-    m_waiting.erase(found);
+    pending_call const call = found->second;
+    m_pending.erase(found);
     // A resend that was answered from an earlier run is no end of that run.
     if (call.admitted) {
-        tell_claimant(fleet::claim_ended{call.key, outcome}, now);
+        handle_claimant_event(fleet::claim_ended{call.key, outcome}, now);
     }
 }
 
 void bookings::plan_stop(model::time_point now)
 {
-    tell_witness(fleet::claim_stop_planned{}, now);
+    handle_witness_event(fleet::claim_stop_planned{}, now);
 }
 
-void bookings::carry_out(fleet::claim_decision const& made,
-                         model::time_point now)
+void bookings::execute(fleet::claim_decision const& made, model::time_point now)
 {
     if (auto const* message = std::get_if<fleet::claim_send>(&made)) {
         deliver(message->to, message->message, now);
     } else if (auto const* go = std::get_if<fleet::claim_proceed>(&made)) {
-        auto const found = m_waiting.find({go->ticket});
-        if (found != m_waiting.end()) {
+        auto const found = m_pending.find({go->ticket});
+        if (found != m_pending.end()) {
             found->second.admitted = true;
             m_hooks.admit(found->second.request);
         }
--- a/src/program/bookings.hpp
+++ b/src/program/bookings.hpp
@@ -51,14 +51,14 @@
 public:
     bookings(booking_settings settings, booking_hooks hooks);
 
-    void list(model::host_list const& hosts, model::time_point now);
-    void confirm(model::time_point as_of, model::time_point now);
-    void arrive(net::booking_arrived const& arrived, model::time_point now);
+    void set_hosts(model::host_list const& hosts, model::time_point now);
+    void confirm_hosts(model::time_point as_of, model::time_point now);
+    void start(net::booking_arrived const& arrived, model::time_point now);
     void receive(std::string const& from,
                  fleet::claim_message const& message,
                  model::time_point now);
     /// A new process runs under the name of another host.
-    void note_restart(std::string const& host, model::time_point now);
+    void record_restart(std::string const& host, model::time_point now);
     void tick(model::time_point now);
 
     /// To be asked right before a call is passed to the relay; empty if the
@@ -68,9 +68,9 @@
                                                     model::time_point now);
 
     /// Whether this request is a call that may run only once.
-    bool holds(model::request_id id) const
+    bool contains(model::request_id id) const
     {
-        return m_waiting.count(id) > 0;
+        return m_pending.count(id) > 0;
     }
 
     void keep_answer(net::booking_answered const& answer,
@@ -81,7 +81,7 @@
     void plan_stop(model::time_point now);
 
     /// At a planned stop: whether all votes have found a new host.
-    bool handed_over() const
+    bool hand_over_complete() const
     {
         return m_witness.hand_over_complete();
     }
@@ -92,7 +92,7 @@
     }
 
 private:
-    struct waiting_call
+    struct pending_call
     {
         decide::request request;
         fleet::claim_key key;
@@ -105,18 +105,19 @@
     };
 
     /// How long the host of the first run has to answer.
-    static constexpr model::milliseconds fetch_limit{2'000};
-    static constexpr model::milliseconds fetch_retry{5'000};
-
-    void tell_claimant(fleet::claimant_event const& event,
-                       model::time_point now);
-    void tell_witness(fleet::witness_event const& event, model::time_point now);
-    void carry_out(fleet::claim_decision const& made, model::time_point now);
+    static constexpr model::milliseconds fetch_timeout{2'000};
+    static constexpr model::milliseconds fetch_retry_after{5'000};
+
+    void handle_claimant_event(fleet::claimant_event const& event,
+                               model::time_point now);
+    void handle_witness_event(fleet::witness_event const& event,
+                              model::time_point now);
+    void execute(fleet::claim_decision const& made, model::time_point now);
     void fetch(fleet::claim_fetch_answer const& wanted, model::time_point now);
-    void give_answer(std::string const& to,
+    void send_answer(std::string const& to,
                      fleet::answer_query const& query,
                      model::time_point now);
-    void take_answer(fleet::answer_reply const& reply);
+    void handle_answer(fleet::answer_reply const& reply);
     void deliver(std::string const& to,
                  fleet::claim_message const& message,
                  model::time_point now);
@@ -132,7 +133,7 @@
     fleet::claimant m_claimant;
     fleet::witness m_witness;
     fleet::claim_answers m_answers;
-    std::unordered_map<model::request_id, waiting_call> m_waiting;
+    std::unordered_map<model::request_id, pending_call> m_pending;
     // A list with this host on it has come.
     bool m_listed = false;
 };
--- a/src/program/bookings_answer.cpp
+++ b/src/program/bookings_answer.cpp
@@ -7,17 +7,17 @@
 void bookings::fetch(fleet::claim_fetch_answer const& wanted,
                      model::time_point now)
 {
-    auto const found = m_waiting.find({wanted.ticket});
-    if (found == m_waiting.end()) {
+    auto const found = m_pending.find({wanted.ticket});
+    if (found == m_pending.end()) {
         return;
     }
-    found->second.fetch_until = now + fetch_limit;
+    found->second.fetch_until = now + fetch_timeout;
     deliver(wanted.host,
             fleet::answer_query{wanted.key, wanted.attempt, wanted.ticket},
             now);
 }
 
-void bookings::give_answer(std::string const& to,
+void bookings::send_answer(std::string const& to,
                            fleet::answer_query const& query,
                            model::time_point now)
 {
@@ -34,15 +34,16 @@
     deliver(to, reply, now);
 }
 
-void bookings::take_answer(fleet::answer_reply const& reply)
+void bookings::handle_answer(fleet::answer_reply const& reply)
 {
     if (!reply.found) {
-        refuse_unknown(
-            reply.ticket, fetch_retry, "the first run's answer is not kept");
+        refuse_unknown(reply.ticket,
+                       fetch_retry_after,
+                       "the first run's answer is not kept");
         return;
     }
-    auto const found = m_waiting.find({reply.ticket});
-    if (found == m_waiting.end()) {
+    auto const found = m_pending.find({reply.ticket});
+    if (found == m_pending.end()) {
         return;
     }
     found->second.fetch_until = {};
@@ -58,8 +59,8 @@
                       net::error_reply const& error,
                       model::outcome outcome)
 {
-    auto const found = m_waiting.find({ticket});
-    if (found == m_waiting.end() || found->second.answered) {
+    auto const found = m_pending.find({ticket});
+    if (found == m_pending.end() || found->second.answered) {
         return;
     }
     found->second.answered = true;
--- a/src/program/check_command.cpp
+++ b/src/program/check_command.cpp
@@ -15,7 +15,7 @@
 namespace caperjunction::program {
 namespace {
 
-constexpr std::size_t lists_alone = 2;
+constexpr std::size_t lists_only = 2;
 constexpr std::size_t with_deployment = 4;
 
 [[noreturn]] void refuse(std::string const& message, std::string const& remedy)
@@ -77,7 +77,7 @@
 
 int check_files(std::vector<std::string> const& files)
 {
-    if (files.size() != lists_alone && files.size() != with_deployment) {
+    if (files.size() != lists_only && files.size() != with_deployment) {
         refuse("check takes two files or four",
                "run caperjunction check PLANS ENTITLEMENTS [HOSTS UPSTREAMS]");
     }
--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -60,8 +60,8 @@
 // error says what to do.
 void check_names(int count, char** words)
 {
-    for (int place = 1; place < count; ++place) {
-        std::string const word = words[place];
+    for (int index = 1; index < count; ++index) {
+        std::string const word = words[index];
         if (word == "--") {
             return;
         }
@@ -78,13 +78,14 @@
         if (name.empty() || equals == std::string::npos) {
             continue;
         }
-        std::string why;
+        std::string reason;
         if (!absl::FindCommandLineFlag(name)->ParseFrom(word.substr(equals + 1),
-                                                        &why)) {
-            throw model::error(
-                model::error_kind::bad_settings,
-                absl::StrCat("--", name, " has a bad value"),
-                why.empty() ? "see caperjunction --help for its form" : why);
+                                                        &reason)) {
+            throw model::error(model::error_kind::bad_settings,
+                               absl::StrCat("--", name, " has a bad value"),
+                               reason.empty()
+                                   ? "see caperjunction --help for its form"
+                                   : reason);
         }
     }
 }
@@ -98,12 +99,13 @@
         std::string const variable =
             absl::StrCat("CAPERJUNCTION_", absl::AsciiStrToUpper(name));
         char const* const value = std::getenv(variable.c_str());
-        std::string why;
-        if (value != nullptr && !flag->ParseFrom(value, &why)) {
-            throw model::error(
-                model::error_kind::bad_settings,
-                absl::StrCat(variable, " has a bad value"),
-                why.empty() ? "see caperjunction --help for its form" : why);
+        std::string reason;
+        if (value != nullptr && !flag->ParseFrom(value, &reason)) {
+            throw model::error(model::error_kind::bad_settings,
+                               absl::StrCat(variable, " has a bad value"),
+                               reason.empty()
+                                   ? "see caperjunction --help for its form"
+                                   : reason);
         }
     }
 }
@@ -114,8 +116,8 @@
 {
     constexpr std::string_view option = "--config=";
     std::string path = absl::GetFlag(FLAGS_config);
-    for (int place = 1; place < count; ++place) {
-        std::string_view const word = words[place];
+    for (int index = 1; index < count; ++index) {
+        std::string_view const word = words[index];
         if (word.substr(0, option.size()) == option) {
             path = word.substr(option.size());
         }
@@ -153,11 +155,11 @@
     check_names(count, words);
     std::vector<char*> const rest = absl::ParseCommandLine(count, words);
     command_line read;
-    for (std::size_t place = 1; place < rest.size(); ++place) {
-        if (place == 1) {
-            read.command = rest[place];
+    for (std::size_t index = 1; index < rest.size(); ++index) {
+        if (index == 1) {
+            read.command = rest[index];
         } else {
-            read.arguments.emplace_back(rest[place]);
+            read.arguments.emplace_back(rest[index]);
         }
     }
     return read;
--- a/src/program/commands.cpp
+++ b/src/program/commands.cpp
@@ -32,18 +32,18 @@
 }
 
 /// One answer of a host's admin address.
-struct fetched
+struct admin_reply
 {
     int status = 0;
     std::string body;
     bool reached = false;
 };
 
-fetched fetch(model::endpoint const& from, std::string const& path)
+admin_reply fetch(model::endpoint const& from, std::string const& path)
 {
     runtime::event_loop loop;
     net::upstream_client client(loop, {});
-    fetched answer;
+    admin_reply answer;
     net::upstream_call call;
     call.to = from;
     call.method = "GET";
@@ -71,7 +71,7 @@
     if (format != "table" && format != "json") {
         refuse("--format is neither table nor json", "choose one of the two");
     }
-    fetched const answer = fetch(from, path);
+    admin_reply const answer = fetch(from, path);
     if (!answer.reached) {
         throw model::error(
             model::error_kind::unavailable,
--- a/src/program/configuration_texts.hpp
+++ b/src/program/configuration_history.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_PROGRAM_CONFIGURATION_TEXTS_HPP
-#define CAPERJUNCTION_PROGRAM_CONFIGURATION_TEXTS_HPP
+#ifndef CAPERJUNCTION_PROGRAM_CONFIGURATION_HISTORY_HPP
+#define CAPERJUNCTION_PROGRAM_CONFIGURATION_HISTORY_HPP
 
 #include "proxy/list_codec.hpp"
 #include "proxy/store_item.hpp"
@@ -15,7 +15,7 @@
 /// has one of these gets the difference alone.
 ///
 /// Thread safety: none; owned by one task.
-class configuration_texts
+class configuration_history
 {
 public:
     /// \pre item.revision is above revision().
@@ -34,11 +34,11 @@
 
     /// The newest against that of revision `base`, or whole if that isn't
     /// known here. `checked` is left to the caller.
-    proxy::packed_configuration packed(std::uint64_t base);
+    proxy::packed_configuration pack(std::uint64_t base);
 
     /// Nothing if it can't be read, or its base isn't known here.
     std::optional<proxy::store_item>
-    unpack(proxy::packed_configuration const& told) const;
+    unpack(proxy::packed_configuration const& packed_item) const;
 
 private:
     /// Empty if it isn't known.
--- a/src/program/control.cpp
+++ b/src/program/control.cpp
@@ -10,7 +10,7 @@
 namespace caperjunction::program {
 namespace {
 
-std::uint64_t own_generation()
+std::uint64_t make_own_generation()
 {
     return fleet::make_generation(std::chrono::system_clock::now(),
                                   std::random_device{}());
@@ -34,7 +34,7 @@
                  relay_hook to_relay)
     : m_loop(loop)
     , m_settings(settings)
-    , m_generation(own_generation())
+    , m_generation(make_own_generation())
     , m_metrics(metrics)
     , m_to_relay(std::move(to_relay))
     , m_policy({settings.host_name,
@@ -43,17 +43,18 @@
                 m_generation},
                loop.clock(),
                [this](decide::decision const& made) {
-                   carry_out(made);
+                   execute(made);
                })
     , m_bookings(booking_settings_of(settings, m_generation),
                  make_booking_hooks())
     , m_node(loop, settings, m_generation)
-    , m_orders(loop,
-               settings.host_name,
-               m_generation,
-               [this](std::string const& to, fleet::order_request const& wish) {
-                   m_node.send(to, wish);
-               })
+    , m_orders(
+          loop,
+          settings.host_name,
+          m_generation,
+          [this](std::string const& to, fleet::order_request const& request) {
+              m_node.send(to, request);
+          })
     , m_engines(loop)
     , m_admin(loop, settings.admin_listen)
 {
@@ -71,7 +72,7 @@
         m_node.send(to, message);
     };
     hooks.admit = [this](decide::request const& request) {
-        decide_on(decide::request_arrived{request});
+        handle_event(decide::request_arrived{request});
     };
     hooks.answer = [this](net::relay_message message) {
         m_to_relay(std::move(message));
@@ -83,15 +84,15 @@
 {
     m_node.lists_changed.connect(
         [this](std::shared_ptr<lists::catalogue const> const& catalogue) {
-            take_lists(catalogue);
+            apply_lists(catalogue);
         });
     m_node.upstreams_changed.connect(
         [this](model::upstream_list const& upstreams) {
-            take_upstreams(upstreams);
+            apply_upstreams(upstreams);
         });
     m_node.hosts_changed.connect([this](model::host_list const& hosts) {
-        m_bookings.list(hosts, m_loop.now());
-        m_orders.list(hosts);
+        m_bookings.set_hosts(hosts, m_loop.now());
+        m_orders.set_hosts(hosts);
         // A host that hears the list from peers has never read it itself;
         // until it has, it gives no vote.
         if (!m_confirmed) {
@@ -100,48 +101,48 @@
     });
     m_node.list_confirmed.connect([this](model::time_point as_of) {
         m_confirmed = true;
-        m_bookings.confirm(as_of, m_loop.now());
-        m_orders.confirm(as_of);
+        m_bookings.confirm_hosts(as_of, m_loop.now());
+        m_orders.confirm_hosts(as_of);
     });
     m_node.value_checked.connect([this](bool accepted) {
         m_metrics.count_list(accepted);
     });
     m_node.host_changed.connect([this](fleet::host_changed const& change) {
-        take_host_change(change);
+        handle_host_change(change);
     });
     m_node.digest_arrived.connect([this](fleet::digest_arrived const& digest) {
-        decide_on(decide::digest_received{digest.host, digest.bytes});
+        handle_event(decide::digest_received{digest.host, digest.bytes});
     });
     m_node.message_received.connect(
         [this](std::string const& from, fleet::peer_message const& message) {
-            take_message(from, message);
+            handle_message(from, message);
         });
     m_node.outdated.connect([this] {
-        m_holding = true;
-        m_hold_until = m_loop.now() + refresh_limit;
+        m_is_deferring = true;
+        m_defer_until = m_loop.now() + max_refresh_wait;
         m_node.confirm_hosts();
     });
     m_node.refreshed.connect([this] {
-        flush_held();
+        flush_deferred();
     });
     m_engines.reported.connect([this](decide::engine_report const& report) {
         m_orders.report(report);
-        decide_on(report);
+        handle_event(report);
     });
     m_engines.cache_changed.connect(
         [this](decide::cache_changed const& change) {
-            decide_on(change);
+            handle_event(change);
         });
 }
 
 void control::start_timers()
 {
     m_loop.every(decide::router::tick_period, [this] {
-        decide_on(decide::tick{});
+        handle_event(decide::tick{});
         m_bookings.tick(m_loop.now());
         m_orders.tick();
-        if (m_holding && m_loop.now() >= m_hold_until) {
-            flush_held();
+        if (m_is_deferring && m_loop.now() >= m_defer_until) {
+            flush_deferred();
         }
         finish_stop();
     });
@@ -156,19 +157,19 @@
 // After a pause this host still believes what it knew before. Decisions wait
 // until its view has been refreshed; but not for ever, since with the service
 // down and all peers cut off it has to go on by what it knows.
-void control::decide_on(decide::event const& event)
+void control::handle_event(decide::event const& event)
 {
-    if (!m_holding) {
+    if (!m_is_deferring) {
         m_policy.handle(event);
     } else if (!std::holds_alternative<decide::tick>(event)) {
-        m_held.push_back(event);
+        m_deferred.push_back(event);
     }
 }
 
-void control::flush_held()
+void control::flush_deferred()
 {
-    m_holding = false;
-    for (decide::event const& event : std::exchange(m_held, {})) {
+    m_is_deferring = false;
+    for (decide::event const& event : std::exchange(m_deferred, {})) {
         m_policy.handle(event);
     }
 }
@@ -177,18 +178,19 @@
 {
     model::time_point const now = m_loop.now();
     if (auto const* event = std::get_if<decide::event>(&report)) {
-        decide_on(*event);
+        handle_event(*event);
     } else if (auto const* booking =
                    std::get_if<net::booking_arrived>(&report)) {
-        m_policy.note_arrival(booking->request);
-        m_bookings.arrive(*booking, now);
+        m_policy.record_arrival(booking->request);
+        m_bookings.start(*booking, now);
     } else if (auto const* kept = std::get_if<net::booking_answered>(&report)) {
         m_bookings.keep_answer(*kept, now);
     } else if (auto const* ended = std::get_if<net::exchange_ended>(&report)) {
         end_exchange(*ended);
     } else if (auto const* give = std::get_if<net::hand_over_wanted>(&report)) {
         if (!m_node.send(give->host, give->request)) {
-            decide_on(decide::hand_over_refused{give->request.id, give->host});
+            handle_event(
+                decide::hand_over_refused{give->request.id, give->host});
         }
     } else if (auto const* part = std::get_if<net::hand_over_part>(&report)) {
         m_node.send(part->host, part->chunk);
@@ -212,15 +214,15 @@
     }
 }
 
-void control::carry_out(decide::decision const& made)
+void control::execute(decide::decision const& made)
 {
     m_metrics.count_decision(made);
     if (auto const* shift = std::get_if<decide::shift_model>(&made)) {
-        m_orders.wish({shift->engine, shift->model}, false);
+        m_orders.request({shift->engine, shift->model}, false);
         return;
     }
     auto const* to = std::get_if<decide::dispatch>(&made);
-    if (to != nullptr && m_bookings.holds(to->id)) {
+    if (to != nullptr && m_bookings.contains(to->id)) {
         start_booking(*to);
     } else {
         m_to_relay(made);
@@ -237,28 +239,28 @@
     }
     // Not inside the decision logic's own call, which led here.
     m_loop.defer([this, to] {
-        decide_on(decide::request_cancelled{to.id});
+        handle_event(decide::request_cancelled{to.id});
         m_bookings.end(to.id, model::outcome::not_run, m_loop.now());
     });
 }
 
-void control::take_lists(
+void control::apply_lists(
     std::shared_ptr<lists::catalogue const> const& catalogue)
 {
     std::uint64_t const revision = catalogue->plans().revision;
     m_catalogue = catalogue;
-    m_policy.note_revision(revision);
+    m_policy.set_list_revision(revision);
     m_metrics.set_revision(revision);
     m_policy.handle(decide::lists_changed{catalogue});
     m_to_relay(net::use_lists{catalogue});
 }
 
-void control::take_upstreams(model::upstream_list const& upstreams)
+void control::apply_upstreams(model::upstream_list const& upstreams)
 {
     m_to_relay(net::use_upstreams{upstreams});
     m_policy.handle(decide::upstreams_changed{upstreams});
     m_engines.use(upstreams.engines);
-    m_orders.use(upstreams);
+    m_orders.set_upstreams(upstreams);
 }
 
 void control::plan_stop()
@@ -273,7 +275,7 @@
     m_orders.plan_stop();
     m_loop.after(m_settings.drain_delay, [this] {
         runtime::log_line("accepting_stopped")
-            .field("running", m_policy.ledger().known());
+            .field("running", m_policy.requests().known());
         m_bookings.plan_stop(m_loop.now());
         m_to_relay(net::stop_accepting{});
     });
@@ -281,7 +283,7 @@
 
 void control::finish_stop()
 {
-    if (m_relay_idle && m_stopped && m_bookings.handed_over()) {
+    if (m_relay_idle && m_stopped && m_bookings.hand_over_complete()) {
         std::exchange(m_stopped, nullptr)();
     }
 }
--- a/src/program/control.hpp
+++ b/src/program/control.hpp
@@ -37,7 +37,7 @@
     static constexpr model::milliseconds confirm_period{5'000};
     /// Longest time that decisions wait for a view after a pause. Claims
     /// wait by rules of their own, for as long as it takes.
-    static constexpr model::milliseconds refresh_limit{3'000};
+    static constexpr model::milliseconds max_refresh_wait{3'000};
 
     using relay_hook = std::function<void(net::relay_message)>;
 
@@ -81,15 +81,15 @@
 private:
     void connect_node();
     void start_timers();
-    void decide_on(decide::event const& event);
-    void flush_held();
-    void carry_out(decide::decision const& made);
+    void handle_event(decide::event const& event);
+    void flush_deferred();
+    void execute(decide::decision const& made);
     void start_booking(decide::dispatch const& to);
-    void take_lists(std::shared_ptr<lists::catalogue const> const& catalogue);
-    void take_upstreams(model::upstream_list const& upstreams);
-    void take_host_change(fleet::host_changed const& change);
-    void take_message(std::string const& from,
-                      fleet::peer_message const& message);
+    void apply_lists(std::shared_ptr<lists::catalogue const> const& catalogue);
+    void apply_upstreams(model::upstream_list const& upstreams);
+    void handle_host_change(fleet::host_changed const& change);
+    void handle_message(std::string const& from,
+                        fleet::peer_message const& message);
     void end_exchange(net::exchange_ended const& ended);
     void finish_stop();
     void add_routes();
@@ -109,10 +109,10 @@
     net::engine_reader m_engines;
     net::admin_server m_admin;
     // Events that came while the view was outdated.
-    std::vector<decide::event> m_held;
+    std::vector<decide::event> m_deferred;
     std::shared_ptr<lists::catalogue const> m_catalogue;
-    model::time_point m_hold_until{};
-    bool m_holding = false;
+    model::time_point m_defer_until{};
+    bool m_is_deferring = false;
     // The list of hosts has been read from the service at least once.
     bool m_confirmed = false;
     bool m_stopping = false;
--- a/src/program/control_pages.cpp
+++ b/src/program/control_pages.cpp
@@ -16,8 +16,8 @@
     made.stopping = m_stopping;
     made.claims = m_bookings.claims();
     auto const in_force = m_node.in_force();
-    for (std::size_t place = 0; place < fleet::published_value_count; ++place) {
-        auto const value = static_cast<fleet::published_value>(place);
+    for (std::size_t index = 0; index < fleet::published_value_count; ++index) {
+        auto const value = static_cast<fleet::published_value>(index);
         made.revisions[std::string(fleet::to_string(value))] = in_force[value];
     }
     for (fleet::viewed_host const& other : m_node.view()->hosts) {
@@ -44,7 +44,7 @@
         return explain_answer(m_policy.trail(), id);
     });
     m_admin.serve("/status", [this](std::string const& /*id*/) {
-        return status_answer(status(), m_policy.ledger());
+        return status_answer(status(), m_policy.requests());
     });
 }
 
--- a/src/program/control_peers.cpp
+++ b/src/program/control_peers.cpp
@@ -2,14 +2,14 @@
 
 namespace caperjunction::program {
 
-void control::take_host_change(fleet::host_changed const& change)
+void control::handle_host_change(fleet::host_changed const& change)
 {
     if (change.change == fleet::host_change::returned) {
         return;
     }
-    decide_on(decide::host_lost{change.host});
+    handle_event(decide::host_lost{change.host});
     if (change.change == fleet::host_change::restarted) {
-        m_bookings.note_restart(change.host, m_loop.now());
+        m_bookings.record_restart(change.host, m_loop.now());
     }
     // A host that leaves still finishes what it serves for this one.
     if (change.change != fleet::host_change::leaving) {
@@ -17,8 +17,8 @@
     }
 }
 
-void control::take_message(std::string const& from,
-                           fleet::peer_message const& message)
+void control::handle_message(std::string const& from,
+                             fleet::peer_message const& message)
 {
     if (auto const* claim = std::get_if<fleet::claim_message>(&message)) {
         m_bookings.receive(from, *claim, m_loop.now());
@@ -30,8 +30,9 @@
         m_to_relay(net::take_part{from, *part});
     } else if (auto const* end = std::get_if<fleet::hand_over_end>(&message)) {
         m_to_relay(net::take_end{from, *end});
-    } else if (auto const* wish = std::get_if<fleet::order_request>(&message)) {
-        m_orders.wish(*wish, true);
+    } else if (auto const* request =
+                   std::get_if<fleet::order_request>(&message)) {
+        m_orders.request(*request, true);
     } else if (auto const* no =
                    std::get_if<fleet::hand_over_cancel>(&message)) {
         m_to_relay(net::cancel_handed_over{from, no->id});
--- a/src/program/described.cpp
+++ b/src/program/described.cpp
@@ -21,7 +21,7 @@
     return text;
 }
 
-described describe_one(decide::dispatch const& made)
+decision_description describe_one(decide::dispatch const& made)
 {
     return {"request_placed",
             made.id,
@@ -33,7 +33,7 @@
              {"reason", made.reason}}};
 }
 
-described describe_one(decide::queued const& made)
+decision_description describe_one(decide::queued const& made)
 {
     return {
         "request_queued",
@@ -41,7 +41,7 @@
         {{"position", std::to_string(made.position)}, {"reason", made.reason}}};
 }
 
-described describe_one(decide::refuse const& made)
+decision_description describe_one(decide::refuse const& made)
 {
     return {"request_refused",
             made.id,
@@ -51,35 +51,35 @@
              {"reason", made.reason}}};
 }
 
-described describe_one(decide::cancel_attempt const& made)
+decision_description describe_one(decide::cancel_attempt const& made)
 {
     return {"attempt_cancelled",
             made.id,
             {{"upstream", made.upstream}, {"reason", made.reason}}};
 }
 
-described describe_one(decide::hand_over const& made)
+decision_description describe_one(decide::hand_over const& made)
 {
     return {"request_handed_over",
             made.id,
             {{"to_host", made.host}, {"reason", made.reason}}};
 }
 
-described describe_one(decide::eject_engine const& made)
+decision_description describe_one(decide::eject_engine const& made)
 {
     return {"engine_ejected",
             {},
             {{"upstream", made.engine}, {"reason", made.reason}}};
 }
 
-described describe_one(decide::readmit_engine const& made)
+decision_description describe_one(decide::readmit_engine const& made)
 {
     return {"engine_readmitted",
             {},
             {{"upstream", made.engine}, {"reason", made.reason}}};
 }
 
-described describe_one(decide::quarantine_request const& made)
+decision_description describe_one(decide::quarantine_request const& made)
 {
     return {"request_quarantined",
             {},
@@ -87,7 +87,7 @@
              {"reason", made.reason}}};
 }
 
-described describe_one(decide::shift_model const& made)
+decision_description describe_one(decide::shift_model const& made)
 {
     return {"model_shift_wished",
             {},
@@ -98,7 +98,7 @@
 
 } // namespace
 
-described describe(decide::decision const& decision)
+decision_description describe(decide::decision const& decision)
 {
     return std::visit(
         [](auto const& made) {
--- a/src/program/described.hpp
+++ b/src/program/described.hpp
@@ -10,24 +10,24 @@
 namespace caperjunction::program {
 
 /// One key=value pair of a log line or of a trail.
-struct pair
+struct key_value
 {
     std::string key;
     std::string value;
 };
 
 /// A decision in the words of the log and of `explain`.
-struct described
+struct decision_description
 {
     /// Name of the log event.
     std::string event;
     /// Zero if the decision is about no one request.
     model::request_id id;
-    std::vector<pair> pairs;
+    std::vector<key_value> pairs;
 };
 
 /// Thread safety: no shared state.
-described describe(decide::decision const& decision);
+decision_description describe(decide::decision const& decision);
 
 } // namespace caperjunction::program
 
--- a/src/program/engine_orders.cpp
+++ b/src/program/engine_orders.cpp
@@ -33,7 +33,7 @@
 /// One number for an engine: the list's revision, then the second in which
 /// the ordering process started. A host that restarts within one second gives
 /// out an equal number, which is accepted; its former process is gone.
-std::uint64_t fencing_of(fleet::fencing_number const& number)
+std::uint64_t encode_fencing_number(fleet::fencing_number const& number)
 {
     constexpr unsigned revision_shift = 32;
     constexpr unsigned generation_shift = 30;
@@ -81,7 +81,7 @@
 {
 }
 
-void engine_orders::list(model::host_list const& hosts)
+void engine_orders::set_hosts(model::host_list const& hosts)
 {
     fleet::order_hosts_listed listed;
     listed.revision = hosts.revision;
@@ -90,15 +90,15 @@
             listed.hosts.push_back(host.name);
         }
     }
-    tell(listed);
+    handle_event(listed);
 }
 
-void engine_orders::confirm(model::time_point as_of)
+void engine_orders::confirm_hosts(model::time_point as_of)
 {
-    tell(fleet::order_hosts_confirmed{as_of});
+    handle_event(fleet::order_hosts_confirmed{as_of});
 }
 
-void engine_orders::use(model::upstream_list const& upstreams)
+void engine_orders::set_upstreams(model::upstream_list const& upstreams)
 {
     std::map<std::string, known_engine> known;
     for (model::engine const& engine : upstreams.engines) {
@@ -109,7 +109,7 @@
         }
     }
     m_engines = std::move(known);
-    tell_engines();
+    update_engines();
 }
 
 void engine_orders::report(decide::engine_report const& report)
@@ -120,34 +120,34 @@
         return;
     }
     found->second.facts.models = report.models;
-    tell_engines();
+    update_engines();
 }
 
-void engine_orders::tell_engines()
+void engine_orders::update_engines()
 {
     fleet::order_engines_listed listed;
     for (auto const& [name, engine] : m_engines) {
         listed.engines.push_back(engine.facts);
     }
-    tell(listed);
+    handle_event(listed);
 }
 
-void engine_orders::wish(fleet::order_request const& wish, bool forwarded)
+void engine_orders::request(fleet::order_request const& request, bool forwarded)
 {
-    tell(fleet::order_requested{wish, forwarded});
+    handle_event(fleet::order_requested{request, forwarded});
 }
 
 void engine_orders::tick()
 {
-    tell(fleet::order_tick{});
+    handle_event(fleet::order_tick{});
 }
 
 void engine_orders::plan_stop()
 {
-    tell(fleet::order_stop_planned{});
+    handle_event(fleet::order_stop_planned{});
 }
 
-void engine_orders::tell(fleet::order_event const& event)
+void engine_orders::handle_event(fleet::order_event const& event)
 {
     std::vector<fleet::order_decision> decisions;
     m_orderer.handle(event, m_loop.now(), decisions);
@@ -165,7 +165,7 @@
     auto const found = m_engines.find(order.engine);
     if (found == m_engines.end() || !m_orderer.may_send(order, m_loop.now())) {
         m_loop.defer([this, name = order.engine] {
-            tell(fleet::order_ended{name, fleet::order_end::not_sent});
+            handle_event(fleet::order_ended{name, fleet::order_end::not_sent});
         });
         return;
     }
@@ -175,7 +175,7 @@
     call.fresh = true;
     call.headers = {{"Content-Type", "application/json"}};
     call.body = fmt::format(R"({{"fencing":{},"model":"{}","action":"load"}})",
-                            fencing_of(order.number),
+                            encode_fencing_number(order.number),
                             order.model);
     auto const status = std::make_shared<int>(0);
     net::call_hooks hooks;
@@ -188,7 +188,7 @@
             .field("upstream", order.engine)
             .field("model", order.model)
             .field("end", name_of(ended));
-        tell(fleet::order_ended{order.engine, ended});
+        handle_event(fleet::order_ended{order.engine, ended});
     };
     m_client.start(call, std::move(hooks));
 }
--- a/src/program/engine_orders.hpp
+++ b/src/program/engine_orders.hpp
@@ -32,14 +32,14 @@
                   std::uint64_t generation,
                   forward_hook forward);
 
-    void list(model::host_list const& hosts);
-    void confirm(model::time_point as_of);
-    void use(model::upstream_list const& upstreams);
+    void set_hosts(model::host_list const& hosts);
+    void confirm_hosts(model::time_point as_of);
+    void set_upstreams(model::upstream_list const& upstreams);
 
     /// What an engine itself says of the models that it serves.
     void report(decide::engine_report const& report);
 
-    void wish(fleet::order_request const& wish, bool forwarded);
+    void request(fleet::order_request const& request, bool forwarded);
     void tick();
     void plan_stop();
 
@@ -50,8 +50,8 @@
         fleet::ordered_engine facts;
     };
 
-    void tell(fleet::order_event const& event);
-    void tell_engines();
+    void handle_event(fleet::order_event const& event);
+    void update_engines();
     void send(fleet::order const& order);
 
     runtime::event_loop& m_loop;
--- a/src/program/file_watch.cpp
+++ b/src/program/file_watch.cpp
@@ -8,10 +8,10 @@
 file_watch::file_watch(std::string path)
     : m_path(std::move(path))
 {
-    look(m_last);
+    read_state(m_last);
 }
 
-bool file_watch::look(state& into) const
+bool file_watch::read_state(state& result) const
 {
     std::error_code failure;
     state now;
@@ -23,7 +23,7 @@
         // While it is being replaced there may be none for a moment.
         return false;
     }
-    into = now;
+    result = now;
     return true;
 }
 
@@ -33,7 +33,7 @@
         return false;
     }
     state now;
-    if (!look(now) || now == m_last) {
+    if (!read_state(now) || now == m_last) {
         return false;
     }
     m_last = now;
--- a/src/program/file_watch.hpp
+++ b/src/program/file_watch.hpp
@@ -28,7 +28,7 @@
         friend bool operator==(state const&, state const&) = default;
     };
 
-    bool look(state& into) const;
+    bool read_state(state& result) const;
 
     std::string m_path;
     state m_last;
--- a/src/program/flag_checks.hpp
+++ b/src/program/flag_checks.hpp
@@ -14,14 +14,14 @@
                                  std::string const& remedy);
 
 /// \throws model::error (bad_settings) if `value` is empty.
-void need_text(std::string const& value, std::string const& flag);
+void require_text(std::string const& value, std::string const& flag);
 
 /// `value`, if it is from `least` to `most`.
 /// \throws model::error (bad_settings) if it isn't.
-model::milliseconds time_within(absl::Duration value,
-                                absl::Duration least,
-                                absl::Duration most,
-                                std::string const& flag);
+model::milliseconds duration_in_range(absl::Duration value,
+                                      absl::Duration min,
+                                      absl::Duration max,
+                                      std::string const& flag);
 
 } // namespace caperjunction::program
 
--- a/src/program/flags.cpp
+++ b/src/program/flags.cpp
@@ -97,10 +97,11 @@
 
 model::milliseconds positive(absl::Duration value, std::string const& flag)
 {
-    return time_within(value, absl::Milliseconds(1), absl::Hours(24), flag);
+    return duration_in_range(
+        value, absl::Milliseconds(1), absl::Hours(24), flag);
 }
 
-void need_positive(std::uint32_t value, std::string const& flag)
+void require_positive(std::uint32_t value, std::string const& flag)
 {
     if (value == 0) {
         refuse_setting("--" + flag + " is 0", "choose at least 1");
@@ -111,8 +112,8 @@
 {
     net::relay_settings relay;
     relay.listen = absl::GetFlag(FLAGS_listen).value;
-    need_positive(absl::GetFlag(FLAGS_max_requests), "max_requests");
-    need_positive(absl::GetFlag(FLAGS_max_body_bytes), "max_body_bytes");
+    require_positive(absl::GetFlag(FLAGS_max_requests), "max_requests");
+    require_positive(absl::GetFlag(FLAGS_max_body_bytes), "max_body_bytes");
     relay.max_exchanges = absl::GetFlag(FLAGS_max_requests);
     relay.max_body_bytes = absl::GetFlag(FLAGS_max_body_bytes);
     relay.caller_timeout =
@@ -134,13 +135,13 @@
     loaded.host_name = absl::GetFlag(FLAGS_host_name);
     loaded.region = absl::GetFlag(FLAGS_region);
     loaded.data_centre = absl::GetFlag(FLAGS_data_centre);
-    need_text(loaded.host_name, "host_name");
-    need_text(loaded.region, "region");
-    need_text(loaded.data_centre, "data_centre");
+    require_text(loaded.host_name, "host_name");
+    require_text(loaded.region, "region");
+    require_text(loaded.data_centre, "data_centre");
     loaded.admin_listen = absl::GetFlag(FLAGS_admin_listen).value;
     loaded.peer_listen = absl::GetFlag(FLAGS_peer_listen).value;
     loaded.platform = absl::GetFlag(FLAGS_platform).value;
-    need_text(loaded.platform.address, "platform");
+    require_text(loaded.platform.address, "platform");
     loaded.peer_secret = absl::GetFlag(FLAGS_peer_secret);
     loaded.first_fleet = absl::GetFlag(FLAGS_first_fleet);
     loaded.relay = load_relay();
--- a/src/program/fleet_node.cpp
+++ b/src/program/fleet_node.cpp
@@ -77,8 +77,8 @@
 {
     m_reader.arrived.connect(
         [this](fleet::value_read const& read, model::time_point started) {
-            tell(read);
-            note_confirmed(read.value, read.revision, started);
+            handle_event(read);
+            record_confirmation(read.value, read.revision, started);
         });
     m_reader.ended.connect(
         [this](fleet::read_ended const& end, model::time_point started) {
@@ -89,20 +89,21 @@
                            "check --platform and the service; what is in force "
                            "stays in force");
             }
-            tell(end);
+            handle_event(end);
             if (!end.failed) {
                 auto const held = m_agent.in_force();
-                note_confirmed(end.value, held[end.value], started);
+                record_confirmation(end.value, held[end.value], started);
             }
         });
     // A newer list comes by the agent's own reads; the answer that there is
     // none is what confirms.
-    m_confirmer.ended.connect([this](fleet::read_ended const& end,
-                                     model::time_point started) {
-        if (!end.failed) {
-            note_confirmed(end.value, m_agent.in_force()[end.value], started);
-        }
-    });
+    m_confirmer.ended.connect(
+        [this](fleet::read_ended const& end, model::time_point started) {
+            if (!end.failed) {
+                record_confirmation(
+                    end.value, m_agent.in_force()[end.value], started);
+            }
+        });
 }
 
 void fleet_node::connect_link()
@@ -113,7 +114,7 @@
         });
     m_link->connected.connect([this](std::string const& host) {
         runtime::log_line("peer_connected").field("peer", host);
-        tell(fleet::link_up{host});
+        handle_event(fleet::link_up{host});
     });
     m_link->disconnected.connect([](std::string const& host) {
         runtime::log_line("peer_disconnected").field("peer", host);
@@ -131,9 +132,9 @@
 void fleet_node::start()
 {
     m_loop.every(fleet::agent::tick_period, [this] {
-        tell(fleet::agent_tick{});
+        handle_event(fleet::agent_tick{});
     });
-    tell(fleet::agent_tick{});
+    handle_event(fleet::agent_tick{});
 }
 
 bool fleet_node::send(std::string const& host,
@@ -144,12 +145,12 @@
 
 void fleet_node::publish_digest(std::vector<std::uint8_t> bytes)
 {
-    tell(fleet::digest_updated{std::move(bytes)});
+    handle_event(fleet::digest_updated{std::move(bytes)});
 }
 
 void fleet_node::plan_stop()
 {
-    tell(fleet::stop_planned{});
+    handle_event(fleet::stop_planned{});
 }
 
 void fleet_node::confirm_hosts()
@@ -170,9 +171,9 @@
 
 // A read that began before a pause may have been answered before it; so what
 // it confirms is the time at which it began.
-void fleet_node::note_confirmed(fleet::published_value value,
-                                std::uint64_t revision,
-                                model::time_point started)
+void fleet_node::record_confirmation(fleet::published_value value,
+                                     std::uint64_t revision,
+                                     model::time_point started)
 {
     bool const is_hosts = value == fleet::published_value::hosts;
     if (is_hosts && revision > 0 && m_agent.in_force()[value] == revision) {
@@ -183,30 +184,30 @@
 void fleet_node::receive(std::string const& from,
                          fleet::peer_message const& message)
 {
-    bool const others =
+    bool const is_for_owner =
         std::holds_alternative<fleet::claim_message>(message)
         || std::holds_alternative<fleet::hand_over_request>(message)
         || std::holds_alternative<fleet::hand_over_chunk>(message)
         || std::holds_alternative<fleet::hand_over_end>(message)
         || std::holds_alternative<fleet::hand_over_cancel>(message)
         || std::holds_alternative<fleet::order_request>(message);
-    if (others) {
+    if (is_for_owner) {
         message_received.emit(from, message);
     } else {
-        tell(fleet::message_received{from, message});
+        handle_event(fleet::message_received{from, message});
     }
 }
 
-void fleet_node::tell(fleet::agent_event const& event)
+void fleet_node::handle_event(fleet::agent_event const& event)
 {
     std::vector<fleet::agent_output> outputs;
     m_agent.handle(event, m_loop.now(), outputs);
     for (fleet::agent_output const& output : outputs) {
-        carry_out(output);
+        execute(output);
     }
 }
 
-void fleet_node::carry_out(fleet::agent_output const& output)
+void fleet_node::execute(fleet::agent_output const& output)
 {
     if (auto const* message = std::get_if<fleet::send_message>(&output)) {
         send(message->to, message->message);
@@ -217,10 +218,10 @@
     } else if (auto const* wait = std::get_if<fleet::watch_value>(&output)) {
         m_reader.watch(wait->value, wait->after, wait->wait);
     } else if (auto const* pair = std::get_if<fleet::lists_in_force>(&output)) {
-        put_lists_in_force(*pair);
+        apply_lists(*pair);
     } else if (auto const* value =
                    std::get_if<fleet::value_in_force>(&output)) {
-        put_value_in_force(*value);
+        apply_value(*value);
     } else if (auto const* no = std::get_if<fleet::value_refused>(&output)) {
         value_checked.emit(false);
         log_refused(*no);
@@ -243,10 +244,10 @@
     }
 }
 
-void fleet_node::put_lists_in_force(fleet::lists_in_force const& pair)
+void fleet_node::apply_lists(fleet::lists_in_force const& pair)
 {
     auto [plans, entitlements] =
-        m_checker.take(*pair.plans.body, *pair.entitlements.body);
+        m_checker.take_parsed(*pair.plans.body, *pair.entitlements.body);
     plans.revision = pair.plans.revision;
     entitlements.revision = pair.entitlements.revision;
     runtime::log_line("lists_in_force")
@@ -257,7 +258,7 @@
         std::move(plans), std::move(entitlements)));
 }
 
-void fleet_node::put_value_in_force(fleet::value_in_force const& value)
+void fleet_node::apply_value(fleet::value_in_force const& value)
 {
     std::vector<lists::fault> faults;
     std::string const& body = *value.checked.body;
@@ -280,7 +281,7 @@
     if (m_link != nullptr) {
         m_link->set_hosts(hosts.members);
     }
-    tell(fleet::hosts_listed{hosts});
+    handle_event(fleet::hosts_listed{hosts});
     hosts_changed.emit(hosts);
 }
 
--- a/src/program/fleet_node.hpp
+++ b/src/program/fleet_node.hpp
@@ -53,7 +53,7 @@
     }
 
     /// False after a pause, until the view has been refreshed.
-    bool fresh() const
+    bool is_view_current() const
     {
         return m_agent.is_view_current();
     }
@@ -90,14 +90,14 @@
     sigc::signal<void()> refreshed;
 
 private:
-    void tell(fleet::agent_event const& event);
-    void carry_out(fleet::agent_output const& output);
+    void handle_event(fleet::agent_event const& event);
+    void execute(fleet::agent_output const& output);
     void receive(std::string const& from, fleet::peer_message const& message);
-    void put_lists_in_force(fleet::lists_in_force const& lists);
-    void put_value_in_force(fleet::value_in_force const& value);
-    void note_confirmed(fleet::published_value value,
-                        std::uint64_t revision,
-                        model::time_point started);
+    void apply_lists(fleet::lists_in_force const& lists);
+    void apply_value(fleet::value_in_force const& value);
+    void record_confirmation(fleet::published_value value,
+                             std::uint64_t revision,
+                             model::time_point started);
     void connect_reader();
     void connect_link();
 
--- a/src/program/list_checker.cpp
+++ b/src/program/list_checker.cpp
@@ -44,12 +44,12 @@
     return faults;
 }
 
-parsed_lists list_checker::take(std::string const& plans,
-                                std::string const& entitlements)
+parsed_lists list_checker::take_parsed(std::string const& plans,
+                                       std::string const& entitlements)
 {
-    bool const kept =
+    bool const is_cached =
         m_parsed && m_plans == plans && m_entitlements == entitlements;
-    if (kept) {
+    if (is_cached) {
         return *std::exchange(m_parsed, std::nullopt);
     }
     std::vector<lists::fault> faults;
--- a/src/program/list_checker.hpp
+++ b/src/program/list_checker.hpp
@@ -30,8 +30,8 @@
     std::vector<lists::fault> check(fleet::value_bodies const& bodies);
 
     /// The lists of these two bodies. \pre The pair has passed `check`.
-    parsed_lists take(std::string const& plans,
-                      std::string const& entitlements);
+    parsed_lists take_parsed(std::string const& plans,
+                             std::string const& entitlements);
 
 private:
     std::optional<parsed_lists> m_parsed;
--- a/src/program/peer_fetcher.cpp
+++ b/src/program/peer_fetcher.cpp
@@ -21,9 +21,9 @@
 {
 }
 
-void peer_fetcher::ask(model::endpoint const& peer,
-                       std::string_view path,
-                       std::uint64_t since)
+void peer_fetcher::fetch(model::endpoint const& peer,
+                         std::string_view path,
+                         std::uint64_t since)
 {
     proxy::get_request request;
     request.at = peer;
@@ -39,9 +39,9 @@
              ended({peer, path, since, "", status},
                    taken ? "taken" : "unreadable");
          },
-         [this, peer, path, since](std::string_view why) {
+         [this, peer, path, since](std::string_view reason) {
              // Asked again, perhaps elsewhere, as long as it is needed.
-             ended({peer, path, since}, why);
+             ended({peer, path, since}, reason);
          }});
 }
 
--- a/src/program/peer_fetcher.hpp
+++ b/src/program/peer_fetcher.hpp
@@ -52,11 +52,11 @@
 
     /// Begins to ask for what `path` gives; what was asked before is given up.
     /// \pre path outlives the call.
-    void ask(model::endpoint const& peer,
-             std::string_view path,
-             std::uint64_t since);
+    void fetch(model::endpoint const& peer,
+               std::string_view path,
+               std::uint64_t since);
 
-    bool is_asking() const
+    bool is_active() const
     {
         return m_get.is_active();
     }
--- a/src/program/peer_lists.cpp
+++ b/src/program/peer_lists.cpp
@@ -20,30 +20,32 @@
 
 } // namespace
 
-peer_lists::peer_lists(proxy::relay_context& context, beliefs& own, hooks call)
+peer_lists::peer_lists(proxy::relay_context& context,
+                       store_replica& replica,
+                       hooks call)
     : m_context(context)
-    , m_beliefs(own)
+    , m_replica(replica)
     , m_call(std::move(call))
     , m_upstreams{routing::list_kind::upstreams,
                   upstreams_path,
                   {},
-                  {context.loop, hooks_of(m_upstreams)}}
+                  {context.loop, hooks_for(m_upstreams)}}
     , m_configuration{routing::list_kind::configuration,
                       configuration_path,
                       {},
-                      {context.loop, hooks_of(m_configuration)}}
+                      {context.loop, hooks_for(m_configuration)}}
 {
 }
 
-peer_fetcher::hooks peer_lists::hooks_of(asking& lane)
+peer_fetcher::hooks peer_lists::hooks_for(list_fetch& list)
 {
     return {[this](std::string_view path, std::string const& body) {
-                return take(path, body);
+                return merge_body(path, body);
             },
-            [this, &lane](fetch_report const& ended) {
-                lane.turn.back_off(ended.progress.bytes,
-                                   m_context.peers.near_count(),
-                                   m_context.loop.now());
+            [this, &list](fetch_report const& ended) {
+                list.scheduler.back_off(ended.progress.bytes,
+                                        m_context.peers.near_count(),
+                                        m_context.loop.now());
                 m_call.on_ended(ended);
             }};
 }
@@ -52,68 +54,68 @@
 {
     server.serve(upstreams_path, [this](std::string const& since) {
         return answer_with(
-            proxy::encode_items(m_beliefs.changes(revision_of(since))));
+            proxy::encode_items(m_replica.changes(revision_of(since))));
     });
     server.serve(configuration_path, [this](std::string const& base) {
         return answer_with(proxy::encode_configuration(
-            m_beliefs.configuration(revision_of(base))));
+            m_replica.configuration(revision_of(base))));
     });
     server.serve(items_path, [this](std::string const& since) {
         return answer_with(
-            proxy::encode_items(m_beliefs.all_changes(revision_of(since))));
+            proxy::encode_items(m_replica.all_changes(revision_of(since))));
     });
 }
 
-void peer_lists::ask()
+void peer_lists::fetch()
 {
-    ask(m_upstreams);
-    ask(m_configuration);
+    fetch(m_upstreams);
+    fetch(m_configuration);
 }
 
-void peer_lists::ask(asking& lane)
+void peer_lists::fetch(list_fetch& list)
 {
-    if (lane.fetcher.is_asking()) {
+    if (list.fetcher.is_active()) {
         return;
     }
     routing::peer_table const& peers = m_context.peers;
-    auto const newer = peers.newer_than(m_context.known, lane.lane, m_random());
-    routing::fetch_scheduler::host_state const about{m_context.table != nullptr,
+    auto const newer = peers.newer_than(m_context.known, list.kind, m_random());
+    routing::fetch_scheduler::host_state const state{m_context.table != nullptr,
                                                      peers.is_store_watcher(),
                                                      peers.is_aggregator()};
-    if (lane.turn.is_due(newer, about, m_context.loop.now())) {
-        bool const is_whole = lane.lane == routing::list_kind::configuration
-                              && !m_asks_for_difference;
-        lane.fetcher.ask(*newer.at,
-                         newer.sends_combined_list ? items_path : lane.path,
-                         is_whole ? 0 : m_context.known.of(lane.lane));
+    if (list.scheduler.is_due(newer, state, m_context.loop.now())) {
+        bool const needs_full_text =
+            list.kind == routing::list_kind::configuration && !m_requests_delta;
+        list.fetcher.fetch(*newer.at,
+                           newer.sends_combined_list ? items_path : list.path,
+                           needs_full_text ? 0 : m_context.known.of(list.kind));
     }
 }
 
 model::milliseconds peer_lists::upstreams_lag()
 {
-    return m_upstreams.turn.lag(
+    return m_upstreams.scheduler.lag(
         m_context.known.upstreams,
         m_context.peers.newest(routing::list_kind::upstreams),
         m_context.loop.now());
 }
 
-bool peer_lists::take(std::string_view path, std::string const& body)
+bool peer_lists::merge_body(std::string_view path, std::string const& body)
 {
     routing::store_revisions const before = m_context.known;
     if (path == configuration_path) {
-        auto const told = proxy::decode_configuration(body);
-        m_asks_for_difference = told && m_beliefs.merge(*told);
-        if (!m_asks_for_difference) {
+        auto const received = proxy::decode_configuration(body);
+        m_requests_delta = received && m_replica.merge(*received);
+        if (!m_requests_delta) {
             return false;
         }
     } else {
-        auto const list = proxy::decode_items(body);
-        if (!list) {
+        auto const items = proxy::decode_items(body);
+        if (!items) {
             return false;
         }
-        m_beliefs.merge(*list);
+        m_replica.merge(*items);
     }
-    m_call.on_taken(before);
+    m_call.on_merged(before);
     return true;
 }
 
--- a/src/program/peer_lists.hpp
+++ b/src/program/peer_lists.hpp
@@ -2,8 +2,8 @@
 #define CAPERJUNCTION_PROGRAM_PEER_LISTS_HPP
 
 #include "net/admin_server.hpp"
-#include "program/beliefs.hpp"
 #include "program/peer_fetcher.hpp"
+#include "program/store_replica.hpp"
 #include "proxy/relay_context.hpp"
 #include "routing/fetch_scheduler.hpp"
 
@@ -24,44 +24,46 @@
     struct hooks
     {
         /// Something came from another host, which knew more than `before`.
-        std::function<void(routing::store_revisions const& before)> on_taken;
+        std::function<void(routing::store_revisions const& before)> on_merged;
         std::function<void(fetch_report const&)> on_ended;
     };
 
-    peer_lists(proxy::relay_context& context, beliefs& own, hooks call);
+    peer_lists(proxy::relay_context& context,
+               store_replica& replica,
+               hooks call);
 
     /// Adds what other hosts ask for.
     void serve_on(net::admin_server& server);
 
     /// Asks for what is lacking, if it is time to.
-    void ask();
+    void fetch();
 
     /// For how long a change of upstreams has been known to others that this
     /// host lacks.
     model::milliseconds upstreams_lag();
 
 private:
-    struct asking
+    struct list_fetch
     {
-        routing::list_kind lane;
+        routing::list_kind kind;
         char const* path;
-        routing::fetch_scheduler turn;
+        routing::fetch_scheduler scheduler;
         peer_fetcher fetcher;
     };
 
-    peer_fetcher::hooks hooks_of(asking& lane);
-    void ask(asking& lane);
-    bool take(std::string_view path, std::string const& body);
+    peer_fetcher::hooks hooks_for(list_fetch& list);
+    void fetch(list_fetch& list);
+    bool merge_body(std::string_view path, std::string const& body);
 
     proxy::relay_context& m_context;
-    beliefs& m_beliefs;
+    store_replica& m_replica;
     hooks m_call;
     /// False: the last configuration that came couldn't be read against the
     /// one here; the next is asked for whole.
-    bool m_asks_for_difference = true;
+    bool m_requests_delta = true;
     std::minstd_rand m_random{std::random_device{}()};
-    asking m_upstreams;
-    asking m_configuration;
+    list_fetch m_upstreams;
+    list_fetch m_configuration;
 };
 
 } // namespace caperjunction::program
--- a/src/program/policy.cpp
+++ b/src/program/policy.cpp
@@ -10,34 +10,34 @@
 
 policy::policy(decide::router_settings const& settings,
                runtime::clock clock,
-               decision_hook carry_out)
+               decision_hook execute)
     : m_router(settings)
     , m_clock(std::move(clock))
-    , m_carry_out(std::move(carry_out))
+    , m_execute(std::move(execute))
 {
 }
 
 void policy::handle(decide::event const& event)
 {
     if (auto const* arrived = std::get_if<decide::request_arrived>(&event)) {
-        note_arrival(arrived->request);
+        record_arrival(arrived->request);
     } else {
-        m_ledger.record(event);
+        m_tracker.record(event);
     }
     std::vector<decide::decision> decisions;
     m_router.handle(event, m_clock.now(), decisions);
     for (decide::decision const& decision : decisions) {
-        note(decision);
-        m_carry_out(decision);
+        record_decision(decision);
+        m_execute(decision);
     }
 }
 
-void policy::note_arrival(decide::request const& request)
+void policy::record_arrival(decide::request const& request)
 {
-    if (m_ledger.knows(request.id)) {
+    if (m_tracker.knows(request.id)) {
         return;
     }
-    m_ledger.record(decide::request_arrived{request});
+    m_tracker.record(decide::request_arrived{request});
     m_trail.add(request.id,
                 {m_clock.now(),
                  "request_arrived",
@@ -68,22 +68,23 @@
         .field("tokens", ended.tokens)
         .field("first_byte_ms", ended.first_byte.count())
         .field("whole_ms", ended.whole.count());
-    m_ledger.forget(ended.id);
+    m_tracker.forget(ended.id);
 }
 
-void policy::note(decide::decision const& decision)
+void policy::record_decision(decide::decision const& decision)
 {
-    described const words = describe(decision);
-    m_ledger.record(decision);
-    runtime::log_line line(words.event);
-    if (words.id.value != 0) {
-        request_facts const& facts = m_ledger.facts(words.id);
-        line.field("request", net::to_string(words.id))
+    decision_description const description = describe(decision);
+    m_tracker.record(decision);
+    runtime::log_line line(description.event);
+    if (description.id.value != 0) {
+        request_facts const& facts = m_tracker.facts(description.id);
+        line.field("request", net::to_string(description.id))
             .field("customer", facts.customer)
             .field("class", facts.service_class);
-        m_trail.add(words.id, {m_clock.now(), words.event, words.pairs});
+        m_trail.add(description.id,
+                    {m_clock.now(), description.event, description.pairs});
     }
-    for (pair const& item : words.pairs) {
+    for (key_value const& item : description.pairs) {
         line.field(item.key, item.value);
     }
     line.field("revision", m_revision);
--- a/src/program/policy.hpp
+++ b/src/program/policy.hpp
@@ -5,7 +5,7 @@
 #include "decide/router.hpp"
 #include "model/time.hpp"
 #include "net/relay_report.hpp"
-#include "program/load_ledger.hpp"
+#include "program/request_tracker.hpp"
 #include "program/trail.hpp"
 #include "runtime/clock.hpp"
 
@@ -25,19 +25,19 @@
 
     policy(decide::router_settings const& settings,
            runtime::clock clock,
-           decision_hook carry_out);
+           decision_hook execute);
 
     void handle(decide::event const& event);
 
     /// Notes a request before the decision logic has it: one that waits for
     /// its claim first. Noting it again does nothing.
-    void note_arrival(decide::request const& request);
+    void record_arrival(decide::request const& request);
 
     /// The exchange is over; it is logged and forgotten but for its trail.
     void finish(net::exchange_ended const& ended);
 
     /// Revision of the lists, for the log.
-    void note_revision(std::uint64_t revision)
+    void set_list_revision(std::uint64_t revision)
     {
         m_revision = revision;
     }
@@ -52,19 +52,19 @@
         return m_trail;
     }
 
-    load_ledger const& ledger() const
+    request_tracker const& requests() const
     {
-        return m_ledger;
+        return m_tracker;
     }
 
 private:
-    void note(decide::decision const& decision);
+    void record_decision(decide::decision const& decision);
 
     decide::router m_router;
     runtime::clock m_clock;
-    decision_hook m_carry_out;
+    decision_hook m_execute;
     program::trail m_trail;
-    load_ledger m_ledger;
+    request_tracker m_tracker;
     std::uint64_t m_revision = 0;
 };
 
--- a/src/program/report.cpp
+++ b/src/program/report.cpp
@@ -21,7 +21,7 @@
     using std::chrono::duration_cast;
     auto const after = duration_cast<model::milliseconds>(step.when - start);
     json pairs = json::object();
-    for (pair const& item : step.pairs) {
+    for (key_value const& item : step.pairs) {
         if (!item.value.empty()) {
             pairs[item.key] = item.value;
         }
@@ -72,7 +72,7 @@
 }
 
 net::admin_answer status_answer(host_status const& status,
-                                load_ledger const& ledger)
+                                request_tracker const& requests)
 {
     return json_answer(200,
                        {{"host", status.host},
@@ -83,9 +83,9 @@
                         {"revisions", status.revisions},
                         {"hosts", status.hosts},
                         {"claims", status.claims},
-                        {"running_by_upstream", ledger.running_by_upstream()},
-                        {"waiting_by_class", ledger.waiting_by_class()},
-                        {"refused_by_reason", ledger.refused_by_reason()}});
+                        {"running_by_upstream", requests.running_by_upstream()},
+                        {"waiting_by_class", requests.waiting_by_class()},
+                        {"refused_by_reason", requests.refused_by_reason()}});
 }
 
 std::string explain_table(std::string const& json_text)
--- a/src/program/report.hpp
+++ b/src/program/report.hpp
@@ -2,7 +2,7 @@
 #define CAPERJUNCTION_PROGRAM_REPORT_HPP
 
 #include "net/admin_server.hpp"
-#include "program/load_ledger.hpp"
+#include "program/request_tracker.hpp"
 #include "program/trail.hpp"
 
 #include <cstdint>
@@ -31,7 +31,7 @@
 
 /// The status page, as JSON.
 net::admin_answer status_answer(host_status const& status,
-                                load_ledger const& ledger);
+                                request_tracker const& requests);
 
 /// The JSON of `explain_answer` as a timeline for a person.
 std::string explain_table(std::string const& json_text);
--- a/src/program/load_ledger.cpp
+++ b/src/program/request_tracker.cpp
@@ -1,8 +1,8 @@
-#include "program/load_ledger.hpp"
+#include "program/request_tracker.hpp"
 
 namespace caperjunction::program {
 
-void load_ledger::record(decide::event const& event)
+void request_tracker::record(decide::event const& event)
 {
     if (auto const* arrived = std::get_if<decide::request_arrived>(&event)) {
         decide::request const& request = arrived->request;
@@ -15,7 +15,7 @@
     }
 }
 
-void load_ledger::record(decide::decision const& decision)
+void request_tracker::record(decide::decision const& decision)
 {
     if (auto const* placed = std::get_if<decide::dispatch>(&decision)) {
         auto const found = m_requests.find(placed->id);
@@ -27,19 +27,20 @@
     }
 }
 
-void load_ledger::forget(model::request_id id)
+void request_tracker::forget(model::request_id id)
 {
     m_requests.erase(id);
 }
 
-request_facts const& load_ledger::facts(model::request_id id) const
+request_facts const& request_tracker::facts(model::request_id id) const
 {
     static request_facts const s_none;
     auto const found = m_requests.find(id);
     return found == m_requests.end() ? s_none : found->second;
 }
 
-std::map<std::string, std::uint32_t> load_ledger::running_by_upstream() const
+std::map<std::string, std::uint32_t>
+request_tracker::running_by_upstream() const
 {
     std::map<std::string, std::uint32_t> counts;
     for (auto const& [id, facts] : m_requests) {
@@ -50,7 +51,7 @@
     return counts;
 }
 
-std::map<std::string, std::uint32_t> load_ledger::waiting_by_class() const
+std::map<std::string, std::uint32_t> request_tracker::waiting_by_class() const
 {
     std::map<std::string, std::uint32_t> counts;
     for (auto const& [id, facts] : m_requests) {
--- a/src/program/load_ledger.hpp
+++ b/src/program/request_tracker.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_PROGRAM_LOAD_LEDGER_HPP
-#define CAPERJUNCTION_PROGRAM_LOAD_LEDGER_HPP
+#ifndef CAPERJUNCTION_PROGRAM_REQUEST_TRACKER_HPP
+#define CAPERJUNCTION_PROGRAM_REQUEST_TRACKER_HPP
 
 #include "decide/decision.hpp"
 #include "decide/event.hpp"
@@ -25,7 +25,7 @@
 /// decisions alone, for the status page and the metrics.
 ///
 /// Thread safety: none; owned by one task.
-class load_ledger
+class request_tracker
 {
 public:
     void record(decide::event const& event);
--- a/src/program/routed_flags.cpp
+++ b/src/program/routed_flags.cpp
@@ -75,10 +75,10 @@
     for (absl::string_view const part :
          absl::StrSplit(text, ',', absl::SkipEmpty())) {
         endpoint_flag seed;
-        std::string why;
-        if (!AbslParseFlag(part, &seed, &why)) {
+        std::string reason;
+        if (!AbslParseFlag(part, &seed, &reason)) {
             refuse_setting("--seeds names no address: " + std::string(part),
-                           why);
+                           reason);
         }
         if (std::uint16_t const port = absl::GetFlag(FLAGS_seed_port);
             port != 0) {
@@ -97,32 +97,34 @@
     loaded.host_name = absl::GetFlag(FLAGS_host_name);
     loaded.region = absl::GetFlag(FLAGS_region);
     loaded.data_centre = absl::GetFlag(FLAGS_data_centre);
-    need_text(loaded.host_name, "host_name");
-    need_text(loaded.region, "region");
-    need_text(loaded.data_centre, "data_centre");
+    require_text(loaded.host_name, "host_name");
+    require_text(loaded.region, "region");
+    require_text(loaded.data_centre, "data_centre");
     loaded.regions = read_regions(absl::GetFlag(FLAGS_regions));
     loaded.admin_listen = absl::GetFlag(FLAGS_admin_listen).value;
     loaded.metrics_listen = absl::GetFlag(FLAGS_metrics_listen).value;
     loaded.platform = absl::GetFlag(FLAGS_platform).value;
-    need_text(loaded.platform.address, "platform");
+    require_text(loaded.platform.address, "platform");
     loaded.relay.data_centre =
         XXH3_64bits(loaded.data_centre.data(), loaded.data_centre.size());
     loaded.relay.peer_listen = absl::GetFlag(FLAGS_peer_listen).value;
     loaded.relay.seeds = read_seeds(absl::GetFlag(FLAGS_seeds));
     loaded.relay.listen = absl::GetFlag(FLAGS_listen).value;
     // Below a second no confirmation of keys would come in time.
-    loaded.relay.key_lifetime = time_within(absl::GetFlag(FLAGS_key_lifetime),
-                                            absl::Seconds(1),
-                                            absl::Hours(1),
-                                            "key_lifetime");
-    loaded.relay.stop_limit = time_within(absl::GetFlag(FLAGS_stop_limit),
-                                          absl::Seconds(1),
-                                          absl::Hours(1),
-                                          "stop_limit");
-    loaded.relay.apply_limit = time_within(absl::GetFlag(FLAGS_apply_limit),
-                                           absl::Milliseconds(500),
-                                           absl::Hours(1),
-                                           "apply_limit");
+    loaded.relay.key_lifetime =
+        duration_in_range(absl::GetFlag(FLAGS_key_lifetime),
+                          absl::Seconds(1),
+                          absl::Hours(1),
+                          "key_lifetime");
+    loaded.relay.stop_limit = duration_in_range(absl::GetFlag(FLAGS_stop_limit),
+                                                absl::Seconds(1),
+                                                absl::Hours(1),
+                                                "stop_limit");
+    loaded.relay.apply_limit =
+        duration_in_range(absl::GetFlag(FLAGS_apply_limit),
+                          absl::Milliseconds(500),
+                          absl::Hours(1),
+                          "apply_limit");
     loaded.relay.retry_ratio = absl::GetFlag(FLAGS_retry_ratio);
     loaded.relay.retry_extra = absl::GetFlag(FLAGS_retry_extra);
     if (!(loaded.relay.retry_ratio >= 0.0) || loaded.relay.retry_ratio > 1.0) {
--- a/src/program/routed_host.cpp
+++ b/src/program/routed_host.cpp
@@ -33,7 +33,7 @@
 }
 
 routing::upstream_directory::distance_of
-measure_from(routed_settings const& settings)
+distance_from(routed_settings const& settings)
 {
     return [settings](std::string const& centre) {
         if (centre == settings.data_centre) {
@@ -54,15 +54,18 @@
     , m_log(m_loop, STDOUT_FILENO)
     , m_names(platform::wire_names())
     , m_codec(platform::store_codec())
-    , m_context(
-          m_loop, m_names, m_settings.relay, boot_now, measure_from(m_settings))
-    , m_beliefs(m_context, m_codec)
+    , m_context(m_loop,
+                m_names,
+                m_settings.relay,
+                boot_now,
+                distance_from(m_settings))
+    , m_replica(m_context, m_codec)
     , m_lists(m_context,
-              m_beliefs,
+              m_replica,
               {[this](routing::store_revisions const& before) {
                    broadcast_change(before);
                    if (m_context.table) {
-                       note_read();
+                       record_first_read();
                    }
                },
                [this](fetch_report const& ended) {
@@ -97,16 +100,16 @@
     for (std::string const& prefix : m_codec.prefixes) {
         proxy::store_hooks call;
         call.on_item = [this](proxy::store_item const& item) {
-            m_beliefs.apply(item);
+            m_replica.apply(item);
         };
         call.on_complete = [this](std::vector<std::string> const& keys) {
-            m_beliefs.keep_only(keys);
-            note_read();
+            m_replica.retain_only(keys);
+            record_first_read();
         };
         call.on_confirmed = [this](model::time_point as_of,
                                    std::uint64_t revision) {
             routing::store_revisions const before = m_context.known;
-            m_beliefs.commit(revision);
+            m_replica.commit(revision);
             m_context.keys.renew(as_of);
             broadcast_change(before);
         };
@@ -234,19 +237,19 @@
     }
 }
 
-void routed_host::note_read()
+void routed_host::record_first_read()
 {
     if (!std::exchange(m_has_read, true)) {
         runtime::log_line("ready")
             .field("upstreams", m_context.directory.size())
-            .field("config_version", m_beliefs.config_version());
+            .field("config_version", m_replica.config_version());
     }
 }
 
 std::string routed_host::metrics_text()
 {
-    m_metrics.set_beliefs(
-        m_beliefs.config_version(),
+    m_metrics.set_store_state(
+        m_replica.config_version(),
         model::seconds(m_context.keys.age(boot_now())).count(),
         static_cast<double>(m_context.directory.size()));
     m_metrics.set_work(static_cast<double>(m_relay.callers()),
--- a/src/program/routed_host.hpp
+++ b/src/program/routed_host.hpp
@@ -2,11 +2,11 @@
 #define CAPERJUNCTION_PROGRAM_ROUTED_HOST_HPP
 
 #include "net/admin_server.hpp"
-#include "program/beliefs.hpp"
 #include "program/file_watch.hpp"
 #include "program/peer_lists.hpp"
 #include "program/routed_metrics.hpp"
 #include "program/routed_settings.hpp"
+#include "program/store_replica.hpp"
 #include "proxy/peer_gossip.hpp"
 #include "proxy/relay.hpp"
 #include "proxy/relay_context.hpp"
@@ -37,11 +37,11 @@
 private:
     void serve_peers();
     void broadcast_change(routing::store_revisions const& before);
-    void share_reading();
+    void update_store_polling();
     model::milliseconds watch_wait();
-    void note_read();
+    void record_first_read();
     void report_requests();
-    void log_retried(proxy::exchange_report const& tried);
+    void log_retried(proxy::exchange_report const& retried);
     void log_ended(proxy::exchange_report const& ended);
     void log_connection(proxy::connection_report const& ended);
     void log_limit(routing::upstream_state const& state);
@@ -60,7 +60,7 @@
     proxy::store_codec m_codec;
     proxy::relay_context m_context;
     routed_metrics m_metrics;
-    beliefs m_beliefs;
+    store_replica m_replica;
     peer_lists m_lists;
     proxy::relay m_relay;
     net::admin_server m_admin;
--- a/src/program/routed_host_log.cpp
+++ b/src/program/routed_host_log.cpp
@@ -5,18 +5,18 @@
 
 namespace caperjunction::program {
 
-void routed_host::log_retried(proxy::exchange_report const& tried)
+void routed_host::log_retried(proxy::exchange_report const& retried)
 {
     runtime::log_line("request_retried")
-        .field("id", tried.id)
-        .field("route", tried.route)
-        .field("service", tried.service)
-        .field("last_try", tried.last_attempt)
-        .field("upstream", tried.upstream)
-        .field("sent", tried.sent)
-        .field("unreached", tried.unreached)
-        .field("budget_left", tried.budget_left)
-        .field("total_ms", tried.total.count());
+        .field("id", retried.id)
+        .field("route", retried.route)
+        .field("service", retried.service)
+        .field("last_try", retried.last_attempt)
+        .field("upstream", retried.upstream)
+        .field("sent", retried.sent)
+        .field("unreached", retried.unreached)
+        .field("budget_left", retried.budget_left)
+        .field("total_ms", retried.total.count());
 }
 
 void routed_host::log_ended(proxy::exchange_report const& ended)
@@ -86,25 +86,25 @@
 
 void routed_host::log_limit(routing::upstream_state const& state)
 {
-    bool const was_heard_here =
+    bool const was_received_here =
         state.own_limit.received_at == state.limit.notice().received_at;
-    std::string_view const heard = was_heard_here ? "here" : "from_peers";
+    std::string_view const source = was_received_here ? "here" : "from_peers";
     if (!state.limit.is_limited()) {
         runtime::log_line("upstream_limit_ended")
             .field("upstream", state.description.id)
             .field("service", state.description.service)
-            .field("heard", heard);
+            .field("heard", source);
         return;
     }
-    routing::limit_share const& place = state.limit.share();
+    routing::limit_share const& share = state.limit.share();
     runtime::log_line("upstream_limited")
         .field("upstream", state.description.id)
         .field("service", state.description.service)
-        .field("heard", heard)
+        .field("heard", source)
         .field("a_second", *state.limit.notice().requests_per_second)
-        .field("rank", place.rank)
-        .field("hosts", place.hosts)
-        .field("is_among_them", place.participates);
+        .field("rank", share.rank)
+        .field("hosts", share.hosts)
+        .field("is_among_them", share.participates);
 }
 
 void routed_host::log_store_lost(proxy::store_failure const& loss)
--- a/src/program/routed_host_peers.cpp
+++ b/src/program/routed_host_peers.cpp
@@ -10,10 +10,10 @@
 namespace caperjunction::program {
 namespace {
 
-constexpr model::milliseconds ask_period{250};
+constexpr model::milliseconds fetch_period{250};
 /// A host that hears nothing new looks at the store itself after this part
 /// of the time in which a change must be in force.
-constexpr int looks_in_time = 2;
+constexpr int polls_per_apply_limit = 2;
 
 } // namespace
 
@@ -30,19 +30,19 @@
         m_loop, m_settings.relay.peer_listen);
     m_lists.serve_on(*m_peer_server);
     m_peers->on_newer_revision([this] {
-        m_lists.ask();
+        m_lists.fetch();
     });
-    m_loop.every(ask_period, [this] {
-        share_reading();
+    m_loop.every(fetch_period, [this] {
+        update_store_polling();
     });
 }
 
 // Those that wait for this host to bring changes into the data centre.
 void routed_host::broadcast_change(routing::store_revisions const& before)
 {
-    bool const is_waited_for =
+    bool const distributes_changes =
         m_context.peers.is_store_watcher() || m_context.peers.is_aggregator();
-    if (m_peers && is_waited_for
+    if (m_peers && distributes_changes
         && !m_context.known.has_same_changes_as(before)) {
         m_peers->broadcast_change();
     }
@@ -60,22 +60,21 @@
         facts, std::uniform_real_distribution<double>(0.0, 1.0)(m_random));
 }
 
-void routed_host::share_reading()
+void routed_host::update_store_polling()
 {
     bool const is_store_watcher = m_context.peers.is_store_watcher();
     auto const age = m_context.keys.age(m_context.boot_now());
-    auto const limit = m_settings.relay.apply_limit / looks_in_time;
-    bool const hears_too_little =
-        age > limit || m_lists.upstreams_lag() > limit;
+    auto const limit = m_settings.relay.apply_limit / polls_per_apply_limit;
+    bool const is_behind = age > limit || m_lists.upstreams_lag() > limit;
     for (auto const& reader : m_readers) {
         reader->set_watch_wait(watch_wait());
         reader->skip_to(m_context.known.all());
         reader->set_watching(is_store_watcher);
-        if (hears_too_little) {
+        if (is_behind) {
             reader->poll_once();
         }
     }
-    m_lists.ask();
+    m_lists.fetch();
 }
 
 } // namespace caperjunction::program
--- a/src/program/routed_metrics.cpp
+++ b/src/program/routed_metrics.cpp
@@ -135,9 +135,9 @@
     m_late.Add({}, seconds_buckets()).Observe(model::seconds(late).count());
 }
 
-void routed_metrics::set_beliefs(std::uint64_t config_version,
-                                 double config_age_s,
-                                 double upstreams)
+void routed_metrics::set_store_state(std::uint64_t config_version,
+                                     double config_age_s,
+                                     double upstreams)
 {
     m_gauges.Add({{"part", "config_version"}})
         .Set(static_cast<double>(config_version));
--- a/src/program/routed_metrics.hpp
+++ b/src/program/routed_metrics.hpp
@@ -31,9 +31,9 @@
     void count(fetch_report const& ended);
     /// Counts a delay of the loop.
     void count_late(model::milliseconds late);
-    void set_beliefs(std::uint64_t config_version,
-                     double config_age_s,
-                     double upstreams);
+    void set_store_state(std::uint64_t config_version,
+                         double config_age_s,
+                         double upstreams);
     void set_work(double callers, double connections, double dropped_lines);
 
     /// In the text format that Prometheus reads.
--- a/src/program/settings_file.cpp
+++ b/src/program/settings_file.cpp
@@ -28,10 +28,11 @@
         refuse(absl::StrCat(where, ": there is no flag --", name),
                "see caperjunction --help for the flags");
     }
-    std::string why;
-    if (!flag->ParseFrom(line.substr(equals + 1), &why)) {
+    std::string reason;
+    if (!flag->ParseFrom(line.substr(equals + 1), &reason)) {
         refuse(absl::StrCat(where, ": --", name, " has a bad value"),
-               why.empty() ? "see caperjunction --help for its form" : why);
+               reason.empty() ? "see caperjunction --help for its form"
+                              : reason);
     }
 }
 
--- a/src/program/beliefs.cpp
+++ b/src/program/store_replica.cpp
@@ -1,4 +1,4 @@
-#include "program/beliefs.hpp"
+#include "program/store_replica.hpp"
 
 #include "model/error.hpp"
 #include "runtime/log_line.hpp"
@@ -11,35 +11,36 @@
 namespace {
 
 /// Hosts ask within a second; more than an hour of usual removals.
-constexpr std::size_t most_removals = 1'024;
+constexpr std::size_t max_removals = 1'024;
 
 } // namespace
 
-beliefs::beliefs(proxy::relay_context& context, proxy::store_codec const& codec)
+store_replica::store_replica(proxy::relay_context& context,
+                             proxy::store_codec const& codec)
     : m_context(context)
     , m_codec(codec)
 {
 }
 
-std::uint64_t beliefs::config_version() const
+std::uint64_t store_replica::config_version() const
 {
     return m_context.table ? m_context.table->config().version : 0;
 }
 
-void beliefs::apply(proxy::store_item const& item)
+void store_replica::apply(proxy::store_item const& item)
 {
     if (m_codec.is_configuration(item.key)) {
         apply_configuration(item);
         return;
     }
-    if (knows_newer(item)) {
+    if (has_newer(item)) {
         return;
     }
     if (item.removed) {
         m_items.erase(item.key);
         m_removed.emplace(item.revision, item.key);
-        if (m_removed.size() > most_removals) {
-            m_forgotten_removal = m_removed.begin()->first;
+        if (m_removed.size() > max_removals) {
+            m_last_evicted_removal = m_removed.begin()->first;
             m_removed.erase(m_removed.begin());
         }
     } else {
@@ -48,11 +49,11 @@
     decode(item);
 }
 
-bool beliefs::knows_newer(proxy::store_item const& item) const
+bool store_replica::has_newer(proxy::store_item const& item) const
 {
-    auto const held = m_items.find(item.key);
-    if (held != m_items.end()) {
-        return held->second.revision >= item.revision;
+    auto const stored = m_items.find(item.key);
+    if (stored != m_items.end()) {
+        return stored->second.revision >= item.revision;
     }
     return std::any_of(m_removed.upper_bound(item.revision),
                        m_removed.end(),
@@ -61,7 +62,7 @@
                        });
 }
 
-void beliefs::apply_configuration(proxy::store_item const& item)
+void store_replica::apply_configuration(proxy::store_item const& item)
 {
     if (item.removed || item.revision <= m_configurations.revision()) {
         return;
@@ -71,38 +72,38 @@
     decode(item);
 }
 
-void beliefs::commit(std::uint64_t revision)
+void store_replica::commit(std::uint64_t revision)
 {
     commit_upstreams(revision);
     m_context.known.checked = std::max(m_context.known.checked, revision);
 }
 
-void beliefs::commit_upstreams(std::uint64_t revision)
+void store_replica::commit_upstreams(std::uint64_t revision)
 {
     std::uint64_t& known = m_context.known.upstreams;
     known = std::max(known, revision);
-    if (std::exchange(m_dropped_unseen, false)) {
-        m_forgotten_removal = std::max(m_forgotten_removal, known);
+    if (std::exchange(m_has_undated_removals, false)) {
+        m_last_evicted_removal = std::max(m_last_evicted_removal, known);
     }
 }
 
-void beliefs::keep_only(std::vector<std::string> const& keys)
+void store_replica::retain_only(std::vector<std::string> const& keys)
 {
-    std::set<std::string> const there(keys.begin(), keys.end());
+    std::set<std::string> const present(keys.begin(), keys.end());
     std::vector<std::string> ids;
     ids.reserve(keys.size());
     for (std::string const& key : keys) {
         ids.push_back(m_codec.upstream_id(key));
     }
     std::size_t const dropped =
-        std::erase_if(m_items, [&there](auto const& held) {
-            return there.count(held.first) == 0;
+        std::erase_if(m_items, [&present](auto const& stored) {
+            return present.count(stored.first) == 0;
         });
-    m_dropped_unseen = m_dropped_unseen || dropped > 0;
+    m_has_undated_removals = m_has_undated_removals || dropped > 0;
     m_context.directory.retain_only(ids, m_context.loop.now());
 }
 
-void beliefs::merge(proxy::item_list const& list)
+void store_replica::merge(proxy::item_list const& list)
 {
     std::uint64_t const before = m_context.known.upstreams;
     if (list.revision <= before || list.since > before) {
@@ -121,7 +122,7 @@
                 keys.push_back(key);
             }
         }
-        keep_only(keys);
+        retain_only(keys);
     }
     commit_upstreams(list.revision);
     runtime::log_line("peer_items_merged")
@@ -130,11 +131,11 @@
         .field("items", list.items.size());
 }
 
-proxy::item_list beliefs::changes(std::uint64_t since) const
+proxy::item_list store_replica::changes(std::uint64_t since) const
 {
     proxy::item_list list;
     list.revision = m_context.known.upstreams;
-    list.since = since > m_forgotten_removal ? since : 0;
+    list.since = since > m_last_evicted_removal ? since : 0;
     for (auto const& [key, item] : m_items) {
         if (item.revision > list.since) {
             list.items.push_back(item);
@@ -150,28 +151,28 @@
     return list;
 }
 
-bool beliefs::merge(proxy::packed_configuration const& told)
+bool store_replica::merge(proxy::packed_configuration const& received)
 {
-    if (told.revision > m_configurations.revision()) {
-        auto const item = m_configurations.unpack(told);
+    if (received.revision > m_configurations.revision()) {
+        auto const item = m_configurations.unpack(received);
         if (!item || !m_codec.is_configuration(item->key)) {
             return false;
         }
         apply_configuration(*item);
     }
     std::uint64_t& checked = m_context.known.checked;
-    checked = std::max(checked, told.checked);
+    checked = std::max(checked, received.checked);
     return true;
 }
 
-proxy::packed_configuration beliefs::configuration(std::uint64_t base)
+proxy::packed_configuration store_replica::configuration(std::uint64_t base)
 {
-    proxy::packed_configuration told = m_configurations.packed(base);
-    told.checked = m_context.known.checked;
-    return told;
+    proxy::packed_configuration received = m_configurations.pack(base);
+    received.checked = m_context.known.checked;
+    return received;
 }
 
-proxy::item_list beliefs::all_changes(std::uint64_t since) const
+proxy::item_list store_replica::all_changes(std::uint64_t since) const
 {
     proxy::item_list list = changes(since);
     list.revision = m_context.known.all();
@@ -181,15 +182,15 @@
     return list;
 }
 
-void beliefs::decode(proxy::store_item const& item)
+void store_replica::decode(proxy::store_item const& item)
 {
     try {
         proxy::store_record record = m_codec.decode(item);
         if (auto* const read = std::get_if<routing::configuration>(&record)) {
-            take_configuration(std::move(*read), item);
+            put_configuration(std::move(*read), item);
         } else if (auto const* const described =
                        std::get_if<routing::upstream>(&record)) {
-            take_upstream(*described, item.revision);
+            put_upstream(*described, item.revision);
         } else if (auto const* const broken =
                        std::get_if<proxy::unreadable_upstream>(&record)) {
             m_context.directory.put_unreadable(broken->id,
@@ -213,8 +214,8 @@
     }
 }
 
-void beliefs::take_configuration(routing::configuration read,
-                                 proxy::store_item const& item)
+void store_replica::put_configuration(routing::configuration read,
+                                      proxy::store_item const& item)
 {
     std::uint64_t const before = config_version();
     if (m_context.table && read.version <= before) {
@@ -231,16 +232,16 @@
         std::make_shared<routing::route_table const>(std::move(read));
 }
 
-void beliefs::take_upstream(routing::upstream const& described,
-                            std::uint64_t revision)
+void store_replica::put_upstream(routing::upstream const& described,
+                                 std::uint64_t revision)
 {
     auto const before = m_context.directory.find(described.id);
-    bool const is_news = !before
-                         || before->description.draining != described.draining
-                         || before->description.started != described.started
-                         || !(before->description.at == described.at);
+    bool const has_changed =
+        !before || before->description.draining != described.draining
+        || before->description.started != described.started
+        || !(before->description.at == described.at);
     m_context.directory.put(described);
-    if (is_news) {
+    if (has_changed) {
         runtime::log_line("upstream_changed")
             .field("upstream", described.id)
             .field("service", described.service)
--- a/src/program/beliefs.hpp
+++ b/src/program/store_replica.hpp
@@ -1,7 +1,7 @@
-#ifndef CAPERJUNCTION_PROGRAM_BELIEFS_HPP
-#define CAPERJUNCTION_PROGRAM_BELIEFS_HPP
+#ifndef CAPERJUNCTION_PROGRAM_STORE_REPLICA_HPP
+#define CAPERJUNCTION_PROGRAM_STORE_REPLICA_HPP
 
-#include "program/configuration_texts.hpp"
+#include "program/configuration_history.hpp"
 #include "proxy/list_codec.hpp"
 #include "proxy/relay_context.hpp"
 #include "proxy/store_codec.hpp"
@@ -18,10 +18,11 @@
 /// upstreams, and kept as it was for hosts that can't read it themselves.
 ///
 /// Thread safety: none; owned by the loop's task.
-class beliefs
+class store_replica
 {
 public:
-    beliefs(proxy::relay_context& context, proxy::store_codec const& codec);
+    store_replica(proxy::relay_context& context,
+                  proxy::store_codec const& codec);
 
     /// The store gave this item. What is older than what is known here changes
     /// nothing: the store's reader may lag behind what other hosts have told.
@@ -39,7 +40,7 @@
     void commit(std::uint64_t revision);
 
     /// The store was read whole: what is not among `keys` is missing.
-    void keep_only(std::vector<std::string> const& keys);
+    void retain_only(std::vector<std::string> const& keys);
 
     /// Another host gave its upstreams. Items that are older than what is
     /// known here change nothing.
@@ -47,7 +48,7 @@
 
     /// Another host gave its configuration. An older one changes nothing.
     /// False if it can't be read; it is to be asked for whole then.
-    bool merge(proxy::packed_configuration const& told);
+    bool merge(proxy::packed_configuration const& received);
 
     /// Upstreams that have changed after revision `since`; all, if that is 0 or
     /// too long ago.
@@ -63,28 +64,28 @@
     std::uint64_t config_version() const;
 
 private:
-    bool knows_newer(proxy::store_item const& item) const;
+    bool has_newer(proxy::store_item const& item) const;
     void apply_configuration(proxy::store_item const& item);
     void commit_upstreams(std::uint64_t revision);
     void decode(proxy::store_item const& item);
-    void take_configuration(routing::configuration read,
-                            proxy::store_item const& item);
-    void take_upstream(routing::upstream const& described,
-                       std::uint64_t revision);
+    void put_configuration(routing::configuration read,
+                           proxy::store_item const& item);
+    void put_upstream(routing::upstream const& described,
+                      std::uint64_t revision);
 
     proxy::relay_context& m_context;
     proxy::store_codec const& m_codec;
     /// Without the configuration.
     std::map<std::string, proxy::store_item> m_items;
-    configuration_texts m_configurations;
+    configuration_history m_configurations;
     /// Removals, by revision, the newest `most_removals`.
     std::map<std::uint64_t, std::string> m_removed;
-    std::uint64_t m_forgotten_removal = 0;
+    std::uint64_t m_last_evicted_removal = 0;
     /// Items were found missing by a whole read: at which revision each was
     /// removed is not known, so that peers that know less get all that there
     /// is. Told only what has changed, they kept sending to upstreams that
     /// had left.
-    bool m_dropped_unseen = false;
+    bool m_has_undated_removals = false;
 };
 
 } // namespace caperjunction::program
--- a/src/program/trail.hpp
+++ b/src/program/trail.hpp
@@ -18,7 +18,7 @@
 {
     model::time_point when{};
     std::string event;
-    std::vector<pair> pairs;
+    std::vector<key_value> pairs;
 };
 
 /// The last requests of this host and what was decided about each, in
--- a/tests/program/configuration_texts_test.cpp
+++ b/tests/program/configuration_history_test.cpp
@@ -1,4 +1,4 @@
-#include "program/configuration_texts.hpp"
+#include "program/configuration_history.hpp"
 
 #include "proxy/text_packer.hpp"
 
@@ -36,53 +36,53 @@
 // answers too. Whole and as it is, twelve copies fill it for seconds.
 TEST_CASE("a large configuration is told in a fraction of its size")
 {
-    program::configuration_texts giver;
-    giver.add(many_routes(10, 5'000));
-    std::size_t const whole = giver.newest().value.size();
-    CHECK(giver.packed(0).packed.size() * 5 < whole);
+    program::configuration_history sender;
+    sender.add(many_routes(10, 5'000));
+    std::size_t const whole = sender.newest().value.size();
+    CHECK(sender.pack(0).packed.size() * 5 < whole);
 }
 
 // A change of one line costs a line, not the whole text again.
 TEST_CASE("a host that has the configuration before gets the difference")
 {
-    program::configuration_texts giver;
-    program::configuration_texts taker;
-    giver.add(many_routes(10, 5'000));
-    taker.add(*taker.unpack(giver.packed(0)));
-    giver.add(many_routes(14, 4'000));
+    program::configuration_history sender;
+    program::configuration_history receiver;
+    sender.add(many_routes(10, 5'000));
+    receiver.add(*receiver.unpack(sender.pack(0)));
+    sender.add(many_routes(14, 4'000));
 
-    auto const told = giver.packed(taker.revision());
-    CHECK(told.base == 10);
-    CHECK(told.packed.size() < 1'000);
-    auto const taken = taker.unpack(told);
-    REQUIRE(taken);
-    CHECK(taken->value == giver.newest().value);
-    CHECK(taken->revision == 14);
+    auto const packed_item = sender.pack(receiver.revision());
+    CHECK(packed_item.base == 10);
+    CHECK(packed_item.packed.size() < 1'000);
+    auto const unpacked = receiver.unpack(packed_item);
+    REQUIRE(unpacked);
+    CHECK(unpacked->value == sender.newest().value);
+    CHECK(unpacked->revision == 14);
 }
 
 TEST_CASE("a host with a base that isn't known gets the whole text")
 {
-    program::configuration_texts giver;
-    giver.add(many_routes(10, 5'000));
-    auto const told = giver.packed(9);
-    CHECK(told.base == 0);
-    program::configuration_texts taker;
-    CHECK(taker.unpack(told)->value == giver.newest().value);
+    program::configuration_history sender;
+    sender.add(many_routes(10, 5'000));
+    auto const packed_item = sender.pack(9);
+    CHECK(packed_item.base == 0);
+    program::configuration_history receiver;
+    CHECK(receiver.unpack(packed_item)->value == sender.newest().value);
     // Of many changes the oldest bases are forgotten.
     for (std::uint64_t revision = 11; revision < 20; ++revision) {
-        giver.add(many_routes(revision, 5'000));
+        sender.add(many_routes(revision, 5'000));
     }
-    CHECK(giver.packed(10).base == 0);
-    CHECK(giver.packed(18).base == 18);
+    CHECK(sender.pack(10).base == 0);
+    CHECK(sender.pack(18).base == 18);
 }
 
 TEST_CASE("what was packed against a base that isn't here is refused")
 {
-    program::configuration_texts giver;
-    giver.add(many_routes(10, 5'000));
-    giver.add(many_routes(14, 4'000));
-    program::configuration_texts taker;
-    CHECK(!taker.unpack(giver.packed(10)));
+    program::configuration_history sender;
+    sender.add(many_routes(10, 5'000));
+    sender.add(many_routes(14, 4'000));
+    program::configuration_history receiver;
+    CHECK(!receiver.unpack(sender.pack(10)));
 }
 
 TEST_CASE("any text comes out as it was packed, and no bytes end the host")
--- a/tests/program/engine_orders_test.cpp
+++ b/tests/program/engine_orders_test.cpp
@@ -22,13 +22,13 @@
     explicit ordering_host(std::vector<std::string> const& names)
         : loop(time.as_clock())
         , engine(loop.base(), checking())
-        , orders(
-              loop,
-              "host-1",
-              std::uint64_t{7} << 32U,
-              [this](std::string const& to, fleet::order_request const& wish) {
-                  forwarded.push_back(to + " " + wish.model);
-              })
+        , orders(loop,
+                 "host-1",
+                 std::uint64_t{7} << 32U,
+                 [this](std::string const& to,
+                        fleet::order_request const& request) {
+                     forwarded.push_back(to + " " + request.model);
+                 })
     {
         runtime::set_log_sink([](std::string_view /*line*/) {});
         model::host_list hosts;
@@ -36,13 +36,13 @@
         for (std::string const& name : names) {
             hosts.members.push_back({name, "west", "west-a", {}, {}, false});
         }
-        orders.list(hosts);
-        orders.confirm(loop.now());
+        orders.set_hosts(hosts);
+        orders.confirm_hosts(loop.now());
         model::upstream_list upstreams;
         upstreams.engines.push_back(
             {"engine-1", "west", "west-a", engine.address(), {"drafter"}});
         upstreams.engines[0].checks_fencing = true;
-        orders.use(upstreams);
+        orders.set_upstreams(upstreams);
     }
 
     static stand_ins::engine_settings checking()
@@ -58,7 +58,7 @@
     {
         for (int step = 0; step < 1000; ++step) {
             time.advance(100ms);
-            orders.confirm(loop.now());
+            orders.confirm_hosts(loop.now());
             orders.tick();
             loop.poll();
         }
@@ -82,10 +82,10 @@
 TEST_CASE("a wish becomes one order that the engine takes")
 {
     ordering_host host({"host-1"});
-    host.orders.wish({"engine-1", "reader"}, false);
+    host.orders.request({"engine-1", "reader"}, false);
     CHECK(host.run_until_ordered());
     CHECK(host.forwarded.empty());
-    host.orders.wish({"engine-1", "reader"}, false);
+    host.orders.request({"engine-1", "reader"}, false);
     host.orders.tick();
     CHECK(host.engine.counters().orders_refused == 0);
 }
@@ -99,7 +99,7 @@
         names.push_back("host-" + std::to_string(number));
     }
     ordering_host host(names);
-    host.orders.wish({"engine-1", "reader"}, false);
+    host.orders.request({"engine-1", "reader"}, false);
     bool const own = host.forwarded.empty();
     if (own) {
         CHECK(host.run_until_ordered());
--- a/tests/program/relay_test.cpp
+++ b/tests/program/relay_test.cpp
@@ -20,7 +20,7 @@
     site.engines.front()->set_faults(faults);
 }
 
-bool is_whole(std::string const& events)
+bool is_complete(std::string const& events)
 {
     return events.find("data: [DONE]") != std::string::npos;
 }
@@ -40,7 +40,7 @@
     CHECK(answer->status == 200);
     std::string const tokens = tests::tokens_of(answer->body);
     CHECK(tokens == tests::expected_tokens(tokens, 20));
-    CHECK(is_whole(answer->body));
+    CHECK(is_complete(answer->body));
     CHECK(answer->body.find("caperjunction-outcome=ran") != std::string::npos);
 }
 
@@ -67,7 +67,7 @@
         REQUIRE(site.wait(answer));
         std::string const tokens = tests::tokens_of(answer->body);
         CHECK(tokens == tests::expected_tokens(tokens, 20));
-        CHECK(is_whole(answer->body));
+        CHECK(is_complete(answer->body));
     }
     CHECK(site.total(&counters::crashes) == 1);
     CHECK(site.total(&counters::resumed) == 1);
@@ -105,7 +105,7 @@
     REQUIRE(site.wait(answer));
     std::string const tokens = tests::tokens_of(answer->body);
     CHECK(tokens == tests::expected_tokens(tokens, 100));
-    CHECK(is_whole(answer->body));
+    CHECK(is_complete(answer->body));
 }
 
 // A caller gives up while its request still waits for its first token. The
@@ -170,6 +170,6 @@
     site.engines[0]->set_faults(faults);
     auto const answer = site.chat("hello", 50, true);
     REQUIRE(site.wait(answer));
-    CHECK_FALSE(is_whole(answer->body));
+    CHECK_FALSE(is_complete(answer->body));
     CHECK(answer->body.find("\"error\"") != std::string::npos);
 }
--- a/tests/program/route_start_test.cpp
+++ b/tests/program/route_start_test.cpp
@@ -17,13 +17,13 @@
 
 namespace {
 
-constexpr auto patience = 10s;
+constexpr auto wait_limit = 10s;
 
 /// Tries `done` until it holds. False if it never did.
 template <typename Condition>
 bool wait_until(Condition const& done)
 {
-    auto const limit = std::chrono::steady_clock::now() + patience;
+    auto const limit = std::chrono::steady_clock::now() + wait_limit;
     while (std::chrono::steady_clock::now() < limit) {
         if (done()) {
             return true;
--- a/tests/program/settings_file_test.cpp
+++ b/tests/program/settings_file_test.cpp
@@ -60,8 +60,9 @@
     return "";
 }
 
-std::string const enough = "--host_name=h\n--region=west\n--data_centre=a\n"
-                           "--platform=10.0.0.1:80\n";
+std::string const required_settings =
+    "--host_name=h\n--region=west\n--data_centre=a\n"
+    "--platform=10.0.0.1:80\n";
 
 } // namespace
 
@@ -69,7 +70,7 @@
 {
     absl::FlagSaver const saved;
     scratch_file const file(
-        "# about\n\n" + enough
+        "# about\n\n" + required_settings
         + "--regions={\"a\":\"west\",\"b\":\"east\"}\n"
           "--key_lifetime=4s\n--seeds=10.0.0.2:1,10.0.0.3:2\n"
           "--seed_port=7000\n--retry_ratio=0.1\n");
@@ -85,7 +86,7 @@
 
 TEST_CASE("bad settings end the start with a remedy")
 {
-    CHECK(remedy_of(enough).empty());
+    CHECK(remedy_of(required_settings).empty());
     for (char const* const bad : {"--nosuch=1\n",
                                   "words\n",
                                   "--key_lifetime=soon\n",
@@ -97,7 +98,7 @@
                                   "--seeds=nowhere\n",
                                   "--host_name=\n"}) {
         CAPTURE(bad);
-        CHECK(!remedy_of(enough + bad).empty());
+        CHECK(!remedy_of(required_settings + bad).empty());
     }
     CHECK_THROWS_AS(program::apply_settings_file("/no/such/file"),
                     model::error);
--- a/tests/program/site.cpp
+++ b/tests/program/site.cpp
@@ -15,9 +15,9 @@
 std::string upstreams_text(site const& made)
 {
     std::vector<stand_ins::site_member> engines;
-    for (std::size_t place = 0; place < made.engines.size(); ++place) {
-        engines.push_back({fmt::format("engine-{}", place),
-                           made.engines[place]->address(),
+    for (std::size_t index = 0; index < made.engines.size(); ++index) {
+        engines.push_back({fmt::format("engine-{}", index),
+                           made.engines[index]->address(),
                            {}});
     }
     return stand_ins::site_upstreams(
@@ -30,11 +30,11 @@
     : m_client(loop, {})
 {
     runtime::set_log_sink([](std::string_view /*line*/) {});
-    for (std::size_t place = 0; place < options.engines; ++place) {
+    for (std::size_t index = 0; index < options.engines; ++index) {
         stand_ins::engine_settings engine;
         engine.tokens_per_second = options.tokens_per_second;
         engine.first_token = std::chrono::milliseconds(5);
-        engine.name = fmt::format("engine-{}", place);
+        engine.name = fmt::format("engine-{}", index);
         engines.push_back(
             std::make_unique<stand_ins::engine>(loop.base(), engine));
     }
@@ -205,8 +205,8 @@
     }
     std::string const mark = tokens.substr(dash, space - dash + 1);
     std::string text;
-    for (int place = 0; place < count; ++place) {
-        text += fmt::format("t{}{}", place, mark);
+    for (int index = 0; index < count; ++index) {
+        text += fmt::format("t{}{}", index, mark);
     }
     return text;
 }
--- a/tests/proxy/peer_fetcher_test.cpp
+++ b/tests/proxy/peer_fetcher_test.cpp
@@ -61,7 +61,7 @@
 
     void run(model::milliseconds longest)
     {
-        fetcher.ask(peer.at(), program::upstreams_path, 0);
+        fetcher.fetch(peer.at(), program::upstreams_path, 0);
         auto const limit = loop.now() + longest;
         while (outcome.empty() && loop.now() < limit) {
             loop.run_once();
