--- a/stand_ins/child_process.cpp
+++ b/stand_ins/child_process.cpp
@@ -71,7 +71,7 @@
 
 child_process::~child_process()
 {
-    if (!ended()) {
+    if (!has_ended()) {
         send_signal(SIGKILL);
         wait();
     }
@@ -94,7 +94,7 @@
                     std::stoul(found.substr(place + wanted.size())));
             }
         }
-        if (ended()) {
+        if (has_ended()) {
             break;
         }
         std::this_thread::sleep_for(look_again);
@@ -114,7 +114,7 @@
     }
 }
 
-bool child_process::ended()
+bool child_process::has_ended()
 {
     if (!m_reaped && waitpid(m_pid, &m_status, WNOHANG) == m_pid) {
         m_reaped = true;
--- a/stand_ins/child_process.hpp
+++ b/stand_ins/child_process.hpp
@@ -36,7 +36,7 @@
     void send_signal(int number) const;
 
     /// Whether it has ended; doesn't wait.
-    bool ended();
+    bool has_ended();
 
     /// Its exit status; waits. -1 if a signal ended it.
     int wait();
--- a/stand_ins/engine.cpp
+++ b/stand_ins/engine.cpp
@@ -118,7 +118,7 @@
     double const cached = m_cache.use(request.model, request.prompt);
     double const left = 1.0 - cached * (1.0 - cached_cost);
     std::chrono::duration<double, std::micro> const first =
-        m_settings.first_token * m_faults.slow_factor * left;
+        m_settings.first_token_delay * m_faults.slow_factor * left;
     generation::pace pace;
     pace.first_token =
         std::chrono::duration_cast<std::chrono::microseconds>(first);
@@ -183,7 +183,7 @@
 void engine::crash()
 {
     ++m_counters.crashes;
-    m_back = std::chrono::steady_clock::now() + m_settings.restart;
+    m_back = std::chrono::steady_clock::now() + m_settings.restart_delay;
     for (generation_list* const list : {&m_running, &m_waiting}) {
         for (auto const& answer : *list) {
             m_counters.wasted_tokens += answer->computed();
@@ -196,7 +196,7 @@
     note_load();
 }
 
-void engine::silence()
+void engine::stall_running()
 {
     for (auto const& answer : m_running) {
         ++m_counters.stalled;
@@ -208,10 +208,10 @@
 {
     double const capacity =
         static_cast<double>(std::max<std::size_t>(m_settings.cache_blocks, 1));
-    m_load.note({running(),
-                 waiting(),
-                 static_cast<double>(m_cache.size()) / capacity,
-                 std::chrono::steady_clock::now()});
+    m_load.record({running(),
+                   waiting(),
+                   static_cast<double>(m_cache.size()) / capacity,
+                   std::chrono::steady_clock::now()});
 }
 
 } // namespace caperjunction::stand_ins
--- a/stand_ins/engine.hpp
+++ b/stand_ins/engine.hpp
@@ -51,7 +51,7 @@
     /// Cuts off everything at once and is away for the restart time.
     void crash();
     /// Open streams send nothing more; new requests are served.
-    void silence();
+    void stall_running();
 
     engine_counters const& counters() const
     {
--- a/stand_ins/engine_http.cpp
+++ b/stand_ins/engine_http.cpp
@@ -86,7 +86,7 @@
         crash();
     }
     if (is_set(body, "silence")) {
-        silence();
+        stall_running();
     }
     call.reply_json(200, "{}");
 }
--- a/stand_ins/engine_settings.hpp
+++ b/stand_ins/engine_settings.hpp
@@ -22,7 +22,7 @@
     /// Of each answer; 0: as fast as the client takes them.
     double tokens_per_second = 50.0;
     /// Until the first token, with nothing of the prompt in the cache.
-    std::chrono::milliseconds first_token{50};
+    std::chrono::milliseconds first_token_delay{50};
     /// Tokens sent with one write.
     std::uint32_t burst_events = 1;
     /// Blocks of prompts that the prefix cache keeps.
@@ -35,7 +35,7 @@
     std::uint32_t cache_event_gap = 10;
     bool checks_fencing = false;
     /// Time that it is away after a crash.
-    std::chrono::milliseconds restart{200};
+    std::chrono::milliseconds restart_delay{200};
 };
 
 } // namespace caperjunction::stand_ins
--- a/stand_ins/load_history.hpp
+++ b/stand_ins/load_history.hpp
@@ -30,7 +30,7 @@
     }
 
     /// Notes a change. \pre change.at does not go back.
-    void note(load const& change)
+    void record(load const& change)
     {
         m_loads.push_back(change);
         while (m_loads.size() > 1 && m_loads[1].at + m_lag <= change.at) {
--- a/stand_ins/main.cpp
+++ b/stand_ins/main.cpp
@@ -108,11 +108,12 @@
     settings.models = absl::GetFlag(FLAGS_models);
     settings.slots = absl::GetFlag(FLAGS_slots);
     settings.tokens_per_second = absl::GetFlag(FLAGS_tokens_per_second);
-    settings.first_token = milliseconds(absl::GetFlag(FLAGS_first_token_ms));
+    settings.first_token_delay =
+        milliseconds(absl::GetFlag(FLAGS_first_token_ms));
     settings.burst_events = absl::GetFlag(FLAGS_burst_events);
     settings.cache_blocks = absl::GetFlag(FLAGS_cache_blocks);
     settings.report_lag = milliseconds(absl::GetFlag(FLAGS_report_lag_ms));
-    settings.restart = milliseconds(absl::GetFlag(FLAGS_restart_ms));
+    settings.restart_delay = milliseconds(absl::GetFlag(FLAGS_restart_ms));
     settings.checks_fencing = absl::GetFlag(FLAGS_checks_fencing);
     return settings;
 }
--- a/stand_ins/process_fleet.cpp
+++ b/stand_ins/process_fleet.cpp
@@ -51,7 +51,7 @@
     for (std::size_t place = 0; place < m_hosts.size(); ++place) {
         m_hosts[place].name = fmt::format("host-{}", place);
         m_options.flags.push_back("--first_fleet");
-        start(place);
+        start_host(place);
         m_options.flags.pop_back();
     }
     publish_hosts();
@@ -59,7 +59,7 @@
 
 process_fleet::~process_fleet() = default;
 
-void process_fleet::start(std::size_t place)
+void process_fleet::start_host(std::size_t place)
 {
     host_process& own = m_hosts[place];
     std::vector<std::string> words{
--- a/stand_ins/process_fleet.hpp
+++ b/stand_ins/process_fleet.hpp
@@ -52,7 +52,7 @@
     void run_for(model::milliseconds time);
 
     /// Starts a new process under the name of host `place`, and lists it.
-    void start(std::size_t place);
+    void start_host(std::size_t place);
 
     /// Runs until all running hosts are ready and see each other.
     bool wait_until_joined();
--- a/stand_ins/site_lists.cpp
+++ b/stand_ins/site_lists.cpp
@@ -48,7 +48,7 @@
     json const plans{{{"name", "gold"}, {"classes", {"questions"}}},
                      {{"name", "poor"}, {"classes", {"questions"}}}};
     json const teams{team("desk", "gold", site_key),
-                     team("poor", "poor", site_poor_key)};
+                     team("poor", "poor", site_unentitled_key)};
     json const all{
         {"tiers", {{{"name", "top"}, {"rank", 0}, {"guaranteed_share", 0.5}}}},
         {"classes", classes},
--- a/stand_ins/site_lists.hpp
+++ b/stand_ins/site_lists.hpp
@@ -20,7 +20,7 @@
 /// API keys of the small site: team `desk` has a plan with model and ledger,
 /// team `poor` has one that includes nothing.
 inline constexpr char const* site_key = "desk.secret";
-inline constexpr char const* site_poor_key = "poor.secret";
+inline constexpr char const* site_unentitled_key = "poor.secret";
 inline constexpr char const* site_model = "drafter";
 
 /// The published values of a small site, as JSON.
--- a/tests/fleet_processes/fleet_test.cpp
+++ b/tests/fleet_processes/fleet_test.cpp
@@ -21,7 +21,7 @@
     options.program = program;
     options.hosts = 7;
     options.engines = 3;
-    options.engine.first_token = 5ms;
+    options.engine.first_token_delay = 5ms;
     options.engine.tokens_per_second = 100.0;
     options.flags = {"--drain_delay=300ms"};
     return options;
@@ -140,10 +140,10 @@
         // The balancer has not noticed yet, and still sends work there.
         streams.push_back(fleet.chat(place, "late", 20));
         REQUIRE(fleet.run_until([&] {
-            return fleet.host(place).ended();
+            return fleet.host(place).has_ended();
         }));
         CHECK(fleet.host(place).wait() == 0);
-        fleet.start(place);
+        fleet.start_host(place);
     }
     for (auto const& stream : streams) {
         REQUIRE(fleet.wait(stream));
--- a/tests/net/hand_over_test.cpp
+++ b/tests/net/hand_over_test.cpp
@@ -128,7 +128,7 @@
     static stand_ins::engine_settings engine_settings()
     {
         stand_ins::engine_settings settings;
-        settings.first_token = 2ms;
+        settings.first_token_delay = 2ms;
         settings.tokens_per_second = 200.0;
         return settings;
     }
--- a/tests/program/relay_test.cpp
+++ b/tests/program/relay_test.cpp
@@ -100,7 +100,7 @@
         return tests::tokens_of(answer->body).size() > 20;
     }));
     for (auto const& engine : site.engines) {
-        engine->silence();
+        engine->stall_running();
     }
     REQUIRE(site.wait(answer));
     std::string const tokens = tests::tokens_of(answer->body);
--- a/tests/program/route_start_test.cpp
+++ b/tests/program/route_start_test.cpp
@@ -53,7 +53,7 @@
     }));
     host.send_signal(SIGHUP);
     std::this_thread::sleep_for(50ms);
-    REQUIRE(!host.ended());
+    REQUIRE(!host.has_ended());
     std::string const text = "--host_name=h\n--region=west\n--data_centre=a\n"
                              "--platform=127.0.0.1:1\n"
                              "--listen=127.0.0.1:0\n"
@@ -67,5 +67,5 @@
     CHECK(wait_until([&] {
         return host.output().find("event=started") != std::string::npos;
     }));
-    CHECK(!host.ended());
+    CHECK(!host.has_ended());
 }
--- a/tests/program/site.cpp
+++ b/tests/program/site.cpp
@@ -33,7 +33,7 @@
     for (std::size_t place = 0; place < options.engines; ++place) {
         stand_ins::engine_settings engine;
         engine.tokens_per_second = options.tokens_per_second;
-        engine.first_token = std::chrono::milliseconds(5);
+        engine.first_token_delay = std::chrono::milliseconds(5);
         engine.name = fmt::format("engine-{}", place);
         engines.push_back(
             std::make_unique<stand_ins::engine>(loop.base(), engine));
--- a/tests/stand_ins/engine_test.cpp
+++ b/tests/stand_ins/engine_test.cpp
@@ -51,7 +51,7 @@
     static stand_ins::engine_settings fast(stand_ins::engine_settings settings)
     {
         settings.tokens_per_second = 0;
-        settings.first_token = std::chrono::milliseconds(0);
+        settings.first_token_delay = std::chrono::milliseconds(0);
         return settings;
     }
 
@@ -133,7 +133,7 @@
 TEST_CASE("a killer request cuts off its neighbours, each time")
 {
     stand_ins::engine_settings settings;
-    settings.restart = std::chrono::milliseconds(1);
+    settings.restart_delay = std::chrono::milliseconds(1);
     fixture test(settings);
     stand_ins::engine_faults faults;
     faults.crash_on_text = "killer";
--- a/tests/stand_ins/stand_ins_test.cpp
+++ b/tests/stand_ins/stand_ins_test.cpp
@@ -23,8 +23,8 @@
 TEST_CASE("a load report tells what was, not what is")
 {
     stand_ins::load_history history(milliseconds(100));
-    history.note({1, 0, 0.0, start + milliseconds(1000)});
-    history.note({2, 0, 0.0, start + milliseconds(1050)});
+    history.record({1, 0, 0.0, start + milliseconds(1000)});
+    history.record({2, 0, 0.0, start + milliseconds(1050)});
     CHECK(history.read(start + milliseconds(1050)).running == 0);
     CHECK(history.read(start + milliseconds(1100)).running == 1);
     CHECK(history.read(start + milliseconds(1200)).running == 2);
