--- a/src/net/caller_reply.cpp
+++ b/src/net/caller_reply.cpp
@@ -46,7 +46,7 @@
     return fmt::format("{:016x}", id.value);
 }
 
-std::string error_body(error_reply const& error, reply_facts const& facts)
+std::string error_body(error_reply const& error, reply_metadata const& facts)
 {
     nlohmann::json const body{
         {"error",
--- a/src/net/caller_reply.hpp
+++ b/src/net/caller_reply.hpp
@@ -11,7 +11,7 @@
 namespace caperjunction::net {
 
 /// What every answer to a caller tells about its request.
-struct reply_facts
+struct reply_metadata
 {
     model::request_id id;
     model::outcome outcome = model::outcome::not_run;
@@ -34,7 +34,7 @@
 std::string to_string(model::request_id id);
 
 /// The JSON body of an error, in the shape that OpenAI clients read.
-std::string error_body(error_reply const& error, reply_facts const& facts);
+std::string error_body(error_reply const& error, reply_metadata const& facts);
 
 /// The last events of an answer: its outcome as a comment, which clients
 /// skip, and for a whole answer the closing `[DONE]`.
--- a/src/net/front.cpp
+++ b/src/net/caller_server.cpp
@@ -1,4 +1,4 @@
-#include "net/front.hpp"
+#include "net/caller_server.hpp"
 
 #include "model/error.hpp"
 #include "net/http_input.hpp"
@@ -31,9 +31,9 @@
 
 } // namespace
 
-front::front(runtime::event_loop& loop,
-             relay_settings const& settings,
-             front_hooks hooks)
+caller_server::caller_server(runtime::event_loop& loop,
+                             relay_settings const& settings,
+                             caller_server_hooks hooks)
     : m_loop(loop)
     , m_settings(settings)
     , m_hooks(std::move(hooks))
@@ -49,7 +49,7 @@
     evhttp_set_gencb(
         m_server,
         [](evhttp_request* caller, void* self) {
-            static_cast<front*>(self)->handle(caller);
+            static_cast<caller_server*>(self)->handle(caller);
         },
         this);
     m_socket = evhttp_bind_socket_with_handle(
@@ -65,12 +65,12 @@
     m_port = port_of(m_socket);
 }
 
-front::~front()
+caller_server::~caller_server()
 {
     evhttp_free(m_server);
 }
 
-void front::stop_accepting()
+void caller_server::stop_accepting()
 {
     if (m_socket != nullptr) {
         evhttp_del_accept_socket(m_server, m_socket);
@@ -78,14 +78,14 @@
     }
 }
 
-model::request_id front::next_id()
+model::request_id caller_server::next_id()
 {
     ++m_last_id;
     return {(static_cast<std::uint64_t>(m_settings.id_prefix) << 32U)
             | m_last_id};
 }
 
-void front::handle(evhttp_request* caller)
+void caller_server::handle(evhttp_request* caller)
 {
     model::request_id const id = next_id();
     send_at_once(evhttp_request_get_connection(caller));
@@ -101,7 +101,7 @@
     }
 }
 
-void front::serve(evhttp_request* caller, model::request_id id)
+void caller_server::serve(evhttp_request* caller, model::request_id id)
 {
     if (m_catalogue == nullptr) {
         send_error(make_http_sink(caller, [] {}),
@@ -129,7 +129,8 @@
     }
 }
 
-void front::pass_on(evhttp_request* caller, std::unique_ptr<exchange> made)
+void caller_server::pass_on(evhttp_request* caller,
+                            std::unique_ptr<exchange> made)
 {
     model::request_id const id = made->request.id;
     if (m_hooks.arrived(std::move(made))) {
@@ -144,7 +145,8 @@
 // libevent stops reading while an answer is due, and so misses that a caller
 // hangs up before its answer begins; the engine would go on with work that
 // nobody wants. Reading on makes the close callback fire.
-void front::watch_for_hang_up(evhttp_request* caller, model::request_id id)
+void caller_server::watch_for_hang_up(evhttp_request* caller,
+                                      model::request_id id)
 {
     evhttp_connection* const connection = evhttp_request_get_connection(caller);
     bufferevent* const stream = evhttp_connection_get_bufferevent(connection);
@@ -169,7 +171,7 @@
         &made);
 }
 
-void front::release(evhttp_request* caller)
+void caller_server::release(evhttp_request* caller)
 {
     evhttp_connection* const connection = evhttp_request_get_connection(caller);
     evhttp_connection_set_closecb(connection, nullptr, nullptr);
--- a/src/net/front.hpp
+++ b/src/net/caller_server.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_NET_FRONT_HPP
-#define CAPERJUNCTION_NET_FRONT_HPP
+#ifndef CAPERJUNCTION_NET_CALLER_SERVER_HPP
+#define CAPERJUNCTION_NET_CALLER_SERVER_HPP
 
 #include "lists/catalogue.hpp"
 #include "net/exchange.hpp"
@@ -18,7 +18,7 @@
 namespace caperjunction::net {
 
 /// What the front tells its owner.
-struct front_hooks
+struct caller_server_hooks
 {
     /// A request that may be served; the owner answers it. False: the host
     /// takes no more now, and the front refuses it.
@@ -31,16 +31,16 @@
 /// at once what needs no upstream.
 ///
 /// Thread safety: none; owned by one task.
-class front
+class caller_server
 {
 public:
     /// \throws model::error (bad_settings) if the address is not to be had.
-    front(runtime::event_loop& loop,
-          relay_settings const& settings,
-          front_hooks hooks);
-    ~front();
-    front(front const&) = delete;
-    front& operator=(front const&) = delete;
+    caller_server(runtime::event_loop& loop,
+                  relay_settings const& settings,
+                  caller_server_hooks hooks);
+    ~caller_server();
+    caller_server(caller_server const&) = delete;
+    caller_server& operator=(caller_server const&) = delete;
 
     /// Null until the first lists have come: callers are asked to wait.
     void use(std::shared_ptr<lists::catalogue const> catalogue)
@@ -63,7 +63,7 @@
     /// What the close callback of a connection needs.
     struct watch
     {
-        front* owner = nullptr;
+        caller_server* owner = nullptr;
         model::request_id id;
         evhttp_request* caller = nullptr;
     };
@@ -90,7 +90,7 @@
 
     runtime::event_loop& m_loop;
     relay_settings m_settings;
-    front_hooks m_hooks;
+    caller_server_hooks m_hooks;
     std::shared_ptr<lists::catalogue const> m_catalogue;
     evhttp* m_server = nullptr;
     evhttp_bound_socket* m_socket = nullptr;
--- a/src/net/front_serve.cpp
+++ b/src/net/caller_server_serve.cpp
@@ -1,4 +1,4 @@
-#include "net/front.hpp"
+#include "net/caller_server.hpp"
 
 #include "model/error.hpp"
 #include "net/caller_request.hpp"
@@ -23,7 +23,7 @@
 
 } // namespace
 
-lists::identity front::authenticate(evhttp_request* caller) const
+lists::identity caller_server::authenticate(evhttp_request* caller) const
 {
     constexpr std::string_view scheme = "Bearer ";
     std::string const given = header_of(caller, "Authorization");
@@ -41,9 +41,8 @@
     return who;
 }
 
-std::unique_ptr<exchange> front::make_exchange(evhttp_request* caller,
-                                               model::request_id id,
-                                               lists::identity const& who)
+std::unique_ptr<exchange> caller_server::make_exchange(
+    evhttp_request* caller, model::request_id id, lists::identity const& who)
 {
     auto made = std::make_unique<exchange>();
     made->caller = make_http_sink(caller, [this, caller] {
@@ -69,10 +68,10 @@
     return made;
 }
 
-void front::serve_text(evhttp_request* caller,
-                       model::request_id id,
-                       lists::identity const& who,
-                       bool chat)
+void caller_server::serve_text(evhttp_request* caller,
+                               model::request_id id,
+                               lists::identity const& who,
+                               bool chat)
 {
     if (evhttp_request_get_command(caller) != EVHTTP_REQ_POST) {
         throw model::error(model::error_kind::bad_request,
@@ -111,9 +110,9 @@
     pass_on(caller, std::move(made));
 }
 
-void front::serve_models(evhttp_request* caller,
-                         model::request_id id,
-                         lists::identity const& who)
+void caller_server::serve_models(evhttp_request* caller,
+                                 model::request_id id,
+                                 lists::identity const& who)
 {
     nlohmann::json data = nlohmann::json::array();
     if (who.entitlement != nullptr) {
@@ -128,9 +127,9 @@
     }).whole({200, "application/json", text, {id, model::outcome::ran}});
 }
 
-void front::serve_service(evhttp_request* caller,
-                          model::request_id id,
-                          lists::identity const& who)
+void caller_server::serve_service(evhttp_request* caller,
+                                  model::request_id id,
+                                  lists::identity const& who)
 {
     auto made = make_exchange(caller, id, who);
     service_path const target = split_service_path(uri_of(caller));
--- a/src/net/caller_sink.cpp
+++ b/src/net/caller_sink.cpp
@@ -6,7 +6,7 @@
 
 void send_error(caller_sink const& sink,
                 error_reply const& error,
-                reply_facts const& facts)
+                reply_metadata const& facts)
 {
     std::string const body = error_body(error, facts);
     sink.whole({status_of(error.kind),
--- a/src/net/caller_sink.hpp
+++ b/src/net/caller_sink.hpp
@@ -12,12 +12,12 @@
 namespace caperjunction::net {
 
 /// An answer in one piece.
-struct whole_answer
+struct complete_answer
 {
     int status = 200;
     std::string_view content_type;
     std::string_view body;
-    reply_facts facts;
+    reply_metadata facts;
     /// Sent as `Retry-After` if above zero.
     model::milliseconds retry_after{0};
 };
@@ -29,7 +29,7 @@
 /// Thread safety: none; called by the task that owns the exchange.
 struct caller_sink
 {
-    std::function<void(whole_answer const&)> whole;
+    std::function<void(complete_answer const&)> whole;
     std::function<void(model::request_id)> begin;
     std::function<void(std::string_view)> events;
     std::function<void(model::outcome)> end;
@@ -40,7 +40,7 @@
 /// Answers with an error in JSON. \pre Nothing of the answer has been sent.
 void send_error(caller_sink const& sink,
                 error_reply const& error,
-                reply_facts const& facts);
+                reply_metadata const& facts);
 
 } // namespace caperjunction::net
 
--- a/src/net/engine_reader.cpp
+++ b/src/net/engine_reader.cpp
@@ -53,7 +53,7 @@
     m_loop.cancel(m_timer);
 }
 
-void engine_reader::use(std::vector<model::engine> const& engines)
+void engine_reader::set_engines(std::vector<model::engine> const& engines)
 {
     std::vector<known_engine> known;
     for (model::engine const& engine : engines) {
--- a/src/net/engine_reader.hpp
+++ b/src/net/engine_reader.hpp
@@ -32,7 +32,7 @@
     engine_reader(engine_reader const&) = delete;
     engine_reader& operator=(engine_reader const&) = delete;
 
-    void use(std::vector<model::engine> const& engines);
+    void set_engines(std::vector<model::engine> const& engines);
 
     sigc::signal<void(decide::engine_report const&)> reported;
     sigc::signal<void(decide::cache_changed const&)> cache_changed;
--- a/src/net/http_sink.cpp
+++ b/src/net/http_sink.cpp
@@ -21,7 +21,7 @@
         evhttp_request_get_output_headers(caller), name, value.c_str());
 }
 
-void send_whole(evhttp_request* caller, whole_answer const& answer)
+void send_whole(evhttp_request* caller, complete_answer const& answer)
 {
     add_header(caller, "caperjunction-request-id", to_string(answer.facts.id));
     add_header(caller,
@@ -59,7 +59,7 @@
                            std::function<void()> const& before_end)
 {
     caller_sink sink;
-    sink.whole = [caller, before_end](whole_answer const& answer) {
+    sink.whole = [caller, before_end](complete_answer const& answer) {
         before_end();
         send_whole(caller, answer);
     };
--- a/src/net/peer_acceptor.cpp
+++ b/src/net/peer_acceptor.cpp
@@ -110,16 +110,16 @@
         take(number, frame);
     };
     calls.ended = [this, number](model::error const* error) {
-        std::string const host = m_accepted.at(number).exchange.caller;
+        std::string const host = m_accepted.at(number).handshake.dialer;
         drop(number);
         if (error != nullptr) {
             m_calls.failed(host, *error);
         }
     };
     added.connection->open(std::move(calls));
-    added.exchange.challenge_nonce = make_nonce();
+    added.handshake.challenge_nonce = make_nonce();
     added.connection->send(
-        encode(peer_challenge{added.exchange.challenge_nonce}));
+        encode(peer_challenge{added.handshake.challenge_nonce}));
 }
 
 void peer_acceptor::take(std::uint64_t number, peer_frame const& frame)
@@ -134,7 +134,7 @@
         from.connection->send(encode(peer_pong{ping->number}));
     } else if (auto const* told = std::get_if<fleet::peer_message>(&frame)) {
         // A copy: the receiver may unlist the peer, and drop it.
-        std::string const host = from.exchange.caller;
+        std::string const host = from.handshake.dialer;
         m_calls.received(host, *told);
     }
 }
@@ -142,11 +142,11 @@
 void peer_acceptor::take_hello(std::uint64_t number, peer_hello const& hello)
 {
     accepted& from = m_accepted.at(number);
-    from.exchange.hello_nonce = hello.nonce;
-    from.exchange.caller = hello.host;
-    from.exchange.called = m_settings.host;
+    from.handshake.hello_nonce = hello.nonce;
+    from.handshake.dialer = hello.host;
+    from.handshake.acceptor = m_settings.host;
     auto const expected =
-        make_proof(m_settings.secret, proof_side::caller, from.exchange);
+        make_proof(m_settings.secret, proof_side::dialer, from.handshake);
     if (from.proven || !equal_proofs(hello.proof, expected)) {
         refuse(number,
                hello.host,
@@ -164,7 +164,7 @@
     from.proven = true;
     from.connection->set_max_frame(m_settings.max_frame_bytes);
     from.connection->send(encode(peer_welcome{
-        make_proof(m_settings.secret, proof_side::called, from.exchange)}));
+        make_proof(m_settings.secret, proof_side::acceptor, from.handshake)}));
 }
 
 void peer_acceptor::refuse(std::uint64_t number,
@@ -193,7 +193,7 @@
     for (auto place = m_accepted.begin(); place != m_accepted.end();) {
         auto const current = place++;
         accepted const& each = current->second;
-        if (each.proven && !m_calls.is_listed(each.exchange.caller)) {
+        if (each.proven && !m_calls.is_listed(each.handshake.dialer)) {
             drop(current->first);
         }
     }
--- a/src/net/peer_acceptor.hpp
+++ b/src/net/peer_acceptor.hpp
@@ -56,7 +56,7 @@
     struct accepted
     {
         std::shared_ptr<peer_connection> connection;
-        peer_exchange exchange;
+        peer_handshake handshake;
         bool proven = false;
         model::time_point opened{};
         model::time_point heard{};
--- a/src/net/peer_dialer.cpp
+++ b/src/net/peer_dialer.cpp
@@ -108,17 +108,18 @@
 
 void peer_dialer::take_challenge(peer_challenge const& challenge)
 {
-    if (m_stage != stage::proving || !m_exchange.challenge_nonce.empty()) {
+    if (m_stage != stage::proving || !m_handshake.challenge_nonce.empty()) {
         return;
     }
-    m_exchange.challenge_nonce = challenge.nonce;
-    m_exchange.hello_nonce = make_nonce();
-    m_exchange.caller = m_settings.host;
-    m_exchange.called = m_peer;
+    m_handshake.challenge_nonce = challenge.nonce;
+    m_handshake.hello_nonce = make_nonce();
+    m_handshake.dialer = m_settings.host;
+    m_handshake.acceptor = m_peer;
     peer_hello hello;
     hello.host = m_settings.host;
-    hello.nonce = m_exchange.hello_nonce;
-    hello.proof = make_proof(m_settings.secret, proof_side::caller, m_exchange);
+    hello.nonce = m_handshake.hello_nonce;
+    hello.proof =
+        make_proof(m_settings.secret, proof_side::dialer, m_handshake);
     m_connection->send(encode(hello));
 }
 
@@ -127,9 +128,9 @@
 void peer_dialer::take_welcome(peer_welcome const& welcome)
 {
     bool const asked =
-        m_stage == stage::proving && !m_exchange.hello_nonce.empty();
+        m_stage == stage::proving && !m_handshake.hello_nonce.empty();
     auto const expected =
-        make_proof(m_settings.secret, proof_side::called, m_exchange);
+        make_proof(m_settings.secret, proof_side::acceptor, m_handshake);
     if (!asked || !equal_proofs(welcome.proof, expected)) {
         ++m_counters.refused_handshakes;
         model::error const error(model::error_kind::unauthenticated,
@@ -156,7 +157,7 @@
         m_connection->close();
         m_connection.reset();
     }
-    m_exchange = {};
+    m_handshake = {};
 }
 
 void peer_dialer::lose(model::error const* error)
@@ -199,7 +200,7 @@
         if (now - m_heard >= m_settings.silence_limit) {
             ++m_counters.silent_connections;
             lose(nullptr);
-        } else if (!m_wanted && now - m_used >= m_settings.idle_limit) {
+        } else if (!m_wanted && now - m_used >= m_settings.idle_timeout) {
             drop_connection();
             m_stage = stage::idle;
             m_told_connected = false;
--- a/src/net/peer_dialer.hpp
+++ b/src/net/peer_dialer.hpp
@@ -88,7 +88,7 @@
     peer_link_counters& m_counters;
     callbacks const& m_calls;
     std::shared_ptr<peer_connection> m_connection;
-    peer_exchange m_exchange;
+    peer_handshake m_handshake;
     stage m_stage = stage::idle;
     bool m_wanted = false;
     /// Told of as connected, and not as disconnected since.
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -151,10 +151,10 @@
         }
     }
     own.acceptor.drop_unlisted();
-    keep_links({own.kept.begin(), own.kept.end()});
+    set_persistent_peers({own.kept.begin(), own.kept.end()});
 }
 
-void peer_link::keep_links(std::vector<std::string> const& hosts)
+void peer_link::set_persistent_peers(std::vector<std::string> const& hosts)
 {
     state& own = *m_state;
     own.kept = {hosts.begin(), hosts.end()};
--- a/src/net/peer_link.hpp
+++ b/src/net/peer_link.hpp
@@ -40,7 +40,7 @@
     void set_hosts(std::vector<model::host> const& hosts);
 
     /// Connections to be kept up; others are closed when they fall idle.
-    void keep_links(std::vector<std::string> const& hosts);
+    void set_persistent_peers(std::vector<std::string> const& hosts);
 
     /// Sends to a listed host, making a connection if there is none; false
     /// if it isn't listed or its queue is full. True promises nothing about
--- a/src/net/peer_link_settings.hpp
+++ b/src/net/peer_link_settings.hpp
@@ -26,7 +26,7 @@
     model::milliseconds connect_timeout{2'000};
     model::milliseconds reconnect_delay{500};
     /// A connection nobody asks for is closed after this time unused.
-    model::milliseconds idle_limit{60'000};
+    model::milliseconds idle_timeout{60'000};
     /// Bytes waiting for one host before `send` refuses.
     std::size_t max_queued_bytes = std::size_t{16} * 1024 * 1024;
     /// A longer frame ends the connection.
--- a/src/net/peer_proof.cpp
+++ b/src/net/peer_proof.cpp
@@ -37,14 +37,14 @@
 
 std::vector<std::uint8_t> make_proof(std::string_view secret,
                                      proof_side side,
-                                     peer_exchange const& exchange)
+                                     peer_handshake const& handshake)
 {
     std::string text =
-        side == proof_side::caller ? "peer hello 1;" : "peer welcome 1;";
-    append(text, exchange.challenge_nonce);
-    append(text, exchange.hello_nonce);
-    append(text, exchange.caller);
-    append(text, exchange.called);
+        side == proof_side::dialer ? "peer hello 1;" : "peer welcome 1;";
+    append(text, handshake.challenge_nonce);
+    append(text, handshake.hello_nonce);
+    append(text, handshake.dialer);
+    append(text, handshake.acceptor);
     std::vector<std::uint8_t> proof(proof_bytes);
     unsigned size = 0;
     HMAC(EVP_sha256(),
--- a/src/net/peer_proof.hpp
+++ b/src/net/peer_proof.hpp
@@ -9,21 +9,21 @@
 namespace caperjunction::net {
 
 /// Everything that both ends of a new connection have told each other.
-struct peer_exchange
+struct peer_handshake
 {
     std::vector<std::uint8_t> challenge_nonce;
     std::vector<std::uint8_t> hello_nonce;
     /// The host that made the connection.
-    std::string caller;
+    std::string dialer;
     /// The host that it wanted to reach.
-    std::string called;
+    std::string acceptor;
 };
 
 /// Which end a proof comes from; one end's is worth nothing for the other.
 enum class proof_side : std::uint8_t
 {
-    caller,
-    called,
+    dialer,
+    acceptor,
 };
 
 /// Shortest secret that is accepted, in bytes.
@@ -39,7 +39,7 @@
 /// can be used towards another host.
 std::vector<std::uint8_t> make_proof(std::string_view secret,
                                      proof_side side,
-                                     peer_exchange const& exchange);
+                                     peer_handshake const& handshake);
 
 /// Compares in a time that does not depend on where the two differ.
 bool equal_proofs(std::vector<std::uint8_t> const& left,
--- a/src/net/relay.cpp
+++ b/src/net/relay.cpp
@@ -38,14 +38,14 @@
     , m_settings(settings)
     , m_report(std::move(report))
     , m_client(loop, settings.upstreams)
-    , m_front(loop,
-              settings,
-              {[this](std::unique_ptr<exchange> arrived) {
-                   return take(std::move(arrived));
-               },
-               [this](model::request_id id) {
-                   forget_caller(id);
-               }})
+    , m_caller_server(loop,
+                      settings,
+                      {[this](std::unique_ptr<exchange> arrived) {
+                           return take(std::move(arrived));
+                       },
+                       [this](model::request_id id) {
+                           forget_caller(id);
+                       }})
     , m_account(loop.every(account_period, [this] {
         account();
     }))
@@ -63,7 +63,7 @@
                               carry_out(made);
                           },
                           [this](use_lists& lists) {
-                              m_front.use(std::move(lists.catalogue));
+                              m_caller_server.use(std::move(lists.catalogue));
                           },
                           [this](use_upstreams& listed) {
                               use(listed.upstreams);
@@ -71,27 +71,27 @@
                           [this](dispatch_booking& booking) {
                               start_booking(booking);
                           },
-                          [this](answer_again& answer) {
+                          [this](replay_answer& answer) {
                               answer_stored(answer);
                           },
                           [this](serve_handed_over& given) {
                               serve(given);
                           },
-                          [this](take_part& part) {
+                          [this](receive_chunk& part) {
                               take(part);
                           },
-                          [this](take_end& end) {
+                          [this](receive_end& end) {
                               take(end);
                           },
                           [this](cancel_handed_over& over) {
                               cancel(over);
                           },
-                          [this](lose_host& lost) {
+                          [this](drop_host& lost) {
                               lose(lost);
                           },
                           [this](stop_accepting&) {
                               m_stopping = true;
-                              m_front.stop_accepting();
+                              m_caller_server.stop_accepting();
                           }},
                message);
 }
@@ -213,11 +213,11 @@
         fmt::format("the request was refused: {}", no.reason),
         no.remedy,
         no.retry_after};
-    reply_facts const facts{no.id, no.outcome};
+    reply_metadata const facts{no.id, no.outcome};
     bool const give_back = !held->from_host.empty() && !held->begun
                            && no.outcome == model::outcome::not_run;
     if (give_back) {
-        report(hand_over_over{
+        report(hand_over_ended{
             held->from_host,
             {no.id, fleet::hand_over_result::refused, no.outcome, no.reason}});
     } else if (held->caller && held->begun) {
@@ -232,7 +232,7 @@
     finish(*held, no.outcome, no.reason);
 }
 
-void relay::answer_stored(answer_again const& answer)
+void relay::answer_stored(replay_answer const& answer)
 {
     exchange* const held = find(answer.id);
     if (held == nullptr) {
@@ -257,7 +257,7 @@
     ended.outcome = outcome;
     ended.error = std::move(error);
     ended.tokens = held.relayed_tokens;
-    ended.whole = since(held.request.arrived, now);
+    ended.total_time = since(held.request.arrived, now);
     if (held.first_byte != model::time_point{}) {
         ended.first_byte = since(held.request.arrived, held.first_byte);
     }
--- a/src/net/relay.hpp
+++ b/src/net/relay.hpp
@@ -2,7 +2,7 @@
 #define CAPERJUNCTION_NET_RELAY_HPP
 
 #include "decide/event.hpp"
-#include "net/front.hpp"
+#include "net/caller_server.hpp"
 #include "net/relay_message.hpp"
 #include "net/relay_report.hpp"
 #include "net/relay_settings.hpp"
@@ -47,7 +47,7 @@
 
     std::uint16_t port() const
     {
-        return m_front.port();
+        return m_caller_server.port();
     }
 
     std::size_t running() const
@@ -61,7 +61,7 @@
     void forget_caller(model::request_id id);
     void finish(exchange& held, model::outcome outcome, std::string error);
     void refuse(decide::refuse const& refuse);
-    void answer_stored(answer_again const& answer);
+    void answer_stored(replay_answer const& answer);
     void account();
     void use(model::upstream_list const& upstreams);
     exchange* find(model::request_id id);
@@ -85,11 +85,11 @@
     void hand_over(decide::hand_over const& decision);
     void serve(serve_handed_over const& given);
     caller_sink make_peer_sink(std::string const& host, model::request_id id);
-    void take(take_part const& part);
-    void take(take_end const& end);
+    void take(receive_chunk const& part);
+    void take(receive_end const& end);
     void take_broken_end(exchange& held, fleet::hand_over_end const& end);
     void cancel(cancel_handed_over const& cancel);
-    void lose(lose_host const& lost);
+    void lose(drop_host const& lost);
 
     void report(relay_report report);
     void send_backlog();
@@ -99,7 +99,7 @@
     relay_settings m_settings;
     report_hook m_report;
     upstream_client m_client;
-    front m_front;
+    caller_server m_caller_server;
     std::unordered_map<model::request_id, std::unique_ptr<exchange>>
         m_exchanges;
     std::unordered_map<std::string, model::endpoint> m_addresses;
--- a/src/net/relay_attempt.cpp
+++ b/src/net/relay_attempt.cpp
@@ -17,7 +17,7 @@
     call.method = held.method;
     call.path = held.path;
     call.body = held.body;
-    call.fresh = !held.request.repeatable;
+    call.needs_new_connection = !held.request.repeatable;
     call.headers = {{"Content-Type", held.content_type},
                     {"caperjunction-request-id", to_string(held.request.id)},
                     {"caperjunction-priority", std::to_string(to.priority)}};
@@ -108,7 +108,7 @@
 void relay::take_stream(exchange& held, std::string_view bytes)
 {
     std::string events;
-    sse_found const found = held.scanner.feed(bytes, events);
+    sse_scan_result const found = held.scanner.feed(bytes, events);
     held.done_seen = held.done_seen || found.done;
     held.relayed_tokens += found.tokens;
     held.untold_tokens += found.tokens;
@@ -196,7 +196,7 @@
 void relay::answer_whole(exchange& held)
 {
     model::outcome const outcome = model::outcome::ran;
-    reply_facts const facts{held.request.id, outcome};
+    reply_metadata const facts{held.request.id, outcome};
     if (held.mode == reply_mode::collected) {
         held.first_byte = m_loop.now();
     }
@@ -223,7 +223,7 @@
 // than any of the router's.
 void relay::answer_failed(exchange& held)
 {
-    reply_facts const facts{held.request.id, model::outcome::unknown};
+    reply_metadata const facts{held.request.id, model::outcome::unknown};
     if (held.caller && !held.begun) {
         held.caller->whole(
             {held.status, held.answer_type, held.collected, facts});
--- a/src/net/relay_hand_over.cpp
+++ b/src/net/relay_hand_over.cpp
@@ -37,7 +37,7 @@
         return;
     }
     held->to_host = decision.host;
-    report(hand_over_wanted{decision.host, pack(*held, m_loop.now())});
+    report(hand_over_requested{decision.host, pack(*held, m_loop.now())});
 }
 
 void relay::serve(serve_handed_over const& given)
@@ -53,24 +53,24 @@
     } catch (model::error const&) {
         // Answered below: the other host serves it or tells its caller.
     }
-    report(hand_over_over{given.from,
-                          {id,
-                           fleet::hand_over_result::refused,
-                           model::outcome::not_run,
-                           "host_full"}});
+    report(hand_over_ended{given.from,
+                           {id,
+                            fleet::hand_over_result::refused,
+                            model::outcome::not_run,
+                            "host_full"}});
 }
 
 caller_sink relay::make_peer_sink(std::string const& host, model::request_id id)
 {
     caller_sink sink;
-    sink.whole = [this, host, id](whole_answer const& answer) {
+    sink.whole = [this, host, id](complete_answer const& answer) {
         fleet::hand_over_chunk chunk;
         chunk.id = id;
         chunk.status = static_cast<std::uint16_t>(answer.status);
         chunk.headers = {{"content-type", std::string(answer.content_type)}};
         chunk.bytes = std::string(answer.body);
-        report(hand_over_part{host, std::move(chunk)});
-        report(hand_over_over{
+        report(hand_over_chunk_ready{host, std::move(chunk)});
+        report(hand_over_ended{
             host,
             {id, fleet::hand_over_result::complete, answer.facts.outcome, ""}});
     };
@@ -79,16 +79,16 @@
         chunk.id = begun;
         chunk.status = 200;
         chunk.headers = {{"content-type", std::string(event_stream)}};
-        report(hand_over_part{host, std::move(chunk)});
+        report(hand_over_chunk_ready{host, std::move(chunk)});
     };
     sink.events = [this, host, id](std::string_view events) {
         fleet::hand_over_chunk chunk;
         chunk.id = id;
         chunk.bytes = std::string(events);
-        report(hand_over_part{host, std::move(chunk)});
+        report(hand_over_chunk_ready{host, std::move(chunk)});
     };
     sink.end = [this, host, id](model::outcome outcome) {
-        report(hand_over_over{
+        report(hand_over_ended{
             host, {id, fleet::hand_over_result::complete, outcome, ""}});
     };
     sink.unsent = [] {
@@ -97,7 +97,7 @@
     return sink;
 }
 
-void relay::take(take_part const& part)
+void relay::take(receive_chunk const& part)
 {
     exchange* const held = find(part.chunk.id);
     if (held == nullptr || held->to_host != part.from) {
@@ -117,7 +117,7 @@
     }
 }
 
-void relay::take(take_end const& end)
+void relay::take(receive_end const& end)
 {
     exchange* const held = find(end.end.id);
     if (held == nullptr || held->to_host != end.from) {
@@ -168,7 +168,7 @@
     }
 }
 
-void relay::lose(lose_host const& lost)
+void relay::lose(drop_host const& lost)
 {
     std::vector<model::request_id> served_there;
     std::vector<model::request_id> asked_from_there;
--- a/src/net/relay_message.hpp
+++ b/src/net/relay_message.hpp
@@ -33,7 +33,7 @@
 };
 
 /// Answer a caller with what an earlier run of its call was answered.
-struct answer_again
+struct replay_answer
 {
     model::request_id id;
     int status = 200;
@@ -49,14 +49,14 @@
 };
 
 /// Part of an answer that another host gives for this one.
-struct take_part
+struct receive_chunk
 {
     std::string from;
     fleet::hand_over_chunk chunk;
 };
 
 /// The end of such an answer.
-struct take_end
+struct receive_end
 {
     std::string from;
     fleet::hand_over_end end;
@@ -70,7 +70,7 @@
 };
 
 /// This host serves nothing for us any more.
-struct lose_host
+struct drop_host
 {
     std::string host;
 };
@@ -85,12 +85,12 @@
                                    use_lists,
                                    use_upstreams,
                                    dispatch_booking,
-                                   answer_again,
+                                   replay_answer,
                                    serve_handed_over,
-                                   take_part,
-                                   take_end,
+                                   receive_chunk,
+                                   receive_end,
                                    cancel_handed_over,
-                                   lose_host,
+                                   drop_host,
                                    stop_accepting>;
 
 } // namespace caperjunction::net
--- a/src/net/relay_report.hpp
+++ b/src/net/relay_report.hpp
@@ -41,11 +41,11 @@
     std::uint32_t tokens = 0;
     /// From arrival; zero if no byte was sent.
     model::milliseconds first_byte{0};
-    model::milliseconds whole{0};
+    model::milliseconds total_time{0};
 };
 
 /// Ask this host to serve the request instead.
-struct hand_over_wanted
+struct hand_over_requested
 {
     std::string host;
     fleet::hand_over_request request;
@@ -59,14 +59,14 @@
 };
 
 /// Part of the answer to a request that another host handed over.
-struct hand_over_part
+struct hand_over_chunk_ready
 {
     std::string host;
     fleet::hand_over_chunk chunk;
 };
 
 /// The end of such an answer.
-struct hand_over_over
+struct hand_over_ended
 {
     std::string host;
     fleet::hand_over_end end;
@@ -82,10 +82,10 @@
                                   booking_arrived,
                                   booking_answered,
                                   exchange_ended,
-                                  hand_over_wanted,
+                                  hand_over_requested,
                                   hand_over_cancelled,
-                                  hand_over_part,
-                                  hand_over_over,
+                                  hand_over_chunk_ready,
+                                  hand_over_ended,
                                   relay_idle>;
 
 } // namespace caperjunction::net
--- a/src/net/sse_scanner.cpp
+++ b/src/net/sse_scanner.cpp
@@ -53,7 +53,7 @@
 
 void sse_scanner::take_event(std::string_view event,
                              std::string& events,
-                             sse_found& found)
+                             sse_scan_result& found)
 {
     if (is_done(event)) {
         found.done = true;
@@ -65,9 +65,9 @@
     events.append(event);
 }
 
-sse_found sse_scanner::feed(std::string_view bytes, std::string& events)
+sse_scan_result sse_scanner::feed(std::string_view bytes, std::string& events)
 {
-    sse_found found;
+    sse_scan_result found;
     // The usual case has nothing left over and copies each event once.
     bool const whole = m_partial.empty();
     if (!whole) {
--- a/src/net/sse_scanner.hpp
+++ b/src/net/sse_scanner.hpp
@@ -9,7 +9,7 @@
 namespace caperjunction::net {
 
 /// What a stretch of an engine's stream held.
-struct sse_found
+struct sse_scan_result
 {
     /// Events that carry output.
     std::uint32_t tokens = 0;
@@ -35,11 +35,12 @@
 
     /// Takes the next bytes and appends each event that is now whole to
     /// `events`, with its closing empty line.
-    sse_found feed(std::string_view bytes, std::string& events);
+    sse_scan_result feed(std::string_view bytes, std::string& events);
 
 private:
-    void
-    take_event(std::string_view event, std::string& events, sse_found& found);
+    void take_event(std::string_view event,
+                    std::string& events,
+                    sse_scan_result& found);
 
     std::string m_partial;
 };
--- a/src/net/upstream_call.hpp
+++ b/src/net/upstream_call.hpp
@@ -53,7 +53,7 @@
     /// Use no connection that has served before. For calls that may not be
     /// repeated: a kept connection may be closed by the other end at any
     /// moment, and then it can't be known whether the call ran.
-    bool fresh = false;
+    bool needs_new_connection = false;
 };
 
 /// What the owner of a call is told; each may cancel the call.
--- a/src/net/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -75,7 +75,7 @@
 evhttp_connection* upstream_client::take_connection(upstream_call const& call)
 {
     auto& idle = m_idle[key_of(call.to)];
-    if (!call.fresh && !idle.empty()) {
+    if (!call.needs_new_connection && !idle.empty()) {
         evhttp_connection* const kept = idle.back().connection;
         idle.pop_back();
         return kept;
--- a/src/program/bookings_answer.cpp
+++ b/src/program/bookings_answer.cpp
@@ -48,10 +48,10 @@
     found->second.fetch_until = {};
     runtime::log_line("booking_answered_again")
         .field("request", net::to_string({reply.ticket}));
-    m_hooks.answer(net::answer_again{{reply.ticket},
-                                     static_cast<int>(reply.status),
-                                     reply.content_type,
-                                     reply.body});
+    m_hooks.answer(net::replay_answer{{reply.ticket},
+                                      static_cast<int>(reply.status),
+                                      reply.content_type,
+                                      reply.body});
 }
 
 void bookings::refuse(std::uint64_t ticket,
--- a/src/program/control.cpp
+++ b/src/program/control.cpp
@@ -186,13 +186,15 @@
         m_bookings.keep_answer(*kept, now);
     } else if (auto const* ended = std::get_if<net::exchange_ended>(&report)) {
         end_exchange(*ended);
-    } else if (auto const* give = std::get_if<net::hand_over_wanted>(&report)) {
+    } else if (auto const* give =
+                   std::get_if<net::hand_over_requested>(&report)) {
         if (!m_node.send(give->host, give->request)) {
             decide_on(decide::hand_over_refused{give->request.id, give->host});
         }
-    } else if (auto const* part = std::get_if<net::hand_over_part>(&report)) {
+    } else if (auto const* part =
+                   std::get_if<net::hand_over_chunk_ready>(&report)) {
         m_node.send(part->host, part->chunk);
-    } else if (auto const* over = std::get_if<net::hand_over_over>(&report)) {
+    } else if (auto const* over = std::get_if<net::hand_over_ended>(&report)) {
         m_node.send(over->host, over->end);
     } else if (auto const* no =
                    std::get_if<net::hand_over_cancelled>(&report)) {
@@ -257,7 +259,7 @@
 {
     m_to_relay(net::use_upstreams{upstreams});
     m_policy.handle(decide::upstreams_changed{upstreams});
-    m_engines.use(upstreams.engines);
+    m_engines.set_engines(upstreams.engines);
     m_orders.use(upstreams);
 }
 
--- a/src/program/control_peers.cpp
+++ b/src/program/control_peers.cpp
@@ -13,7 +13,7 @@
     }
     // A host that leaves still finishes what it serves for this one.
     if (change.change != fleet::host_change::leaving) {
-        m_to_relay(net::lose_host{change.host});
+        m_to_relay(net::drop_host{change.host});
     }
 }
 
@@ -27,9 +27,9 @@
         m_to_relay(net::serve_handed_over{from, *give});
     } else if (auto const* part =
                    std::get_if<fleet::hand_over_chunk>(&message)) {
-        m_to_relay(net::take_part{from, *part});
+        m_to_relay(net::receive_chunk{from, *part});
     } else if (auto const* end = std::get_if<fleet::hand_over_end>(&message)) {
-        m_to_relay(net::take_end{from, *end});
+        m_to_relay(net::receive_end{from, *end});
     } else if (auto const* wish = std::get_if<fleet::order_request>(&message)) {
         m_orders.wish(*wish, true);
     } else if (auto const* no =
--- a/src/program/engine_orders.cpp
+++ b/src/program/engine_orders.cpp
@@ -172,7 +172,7 @@
     net::upstream_call call;
     call.to = found->second.address;
     call.path = "/v1/orders";
-    call.fresh = true;
+    call.needs_new_connection = true;
     call.headers = {{"Content-Type", "application/json"}};
     call.body = fmt::format(R"({{"fencing":{},"model":"{}","action":"load"}})",
                             fencing_of(order.number),
--- a/src/program/fleet_node.cpp
+++ b/src/program/fleet_node.cpp
@@ -212,7 +212,7 @@
         send(message->to, message->message);
     } else if (auto const* keep = std::get_if<fleet::keep_links>(&output)) {
         if (m_link != nullptr) {
-            m_link->keep_links(keep->hosts);
+            m_link->set_persistent_peers(keep->hosts);
         }
     } else if (auto const* wait = std::get_if<fleet::watch_value>(&output)) {
         m_reader.watch(wait->value, wait->after, wait->wait);
--- a/src/program/metrics.cpp
+++ b/src/program/metrics.cpp
@@ -94,7 +94,7 @@
     if (kind == nullptr || ended.outcome != model::outcome::ran) {
         return;
     }
-    auto const rest = ended.whole - ended.first_byte;
+    auto const rest = ended.total_time - ended.first_byte;
     bool const steady =
         ended.tokens < 2
         || rest <= kind->inter_token_target * (ended.tokens - 1);
--- a/src/program/policy.cpp
+++ b/src/program/policy.cpp
@@ -67,7 +67,7 @@
         .field("error", ended.error)
         .field("tokens", ended.tokens)
         .field("first_byte_ms", ended.first_byte.count())
-        .field("whole_ms", ended.whole.count());
+        .field("whole_ms", ended.total_time.count());
     m_ledger.forget(ended.id);
 }
 
--- a/tests/net/hand_over_test.cpp
+++ b/tests/net/hand_over_test.cpp
@@ -148,14 +148,14 @@
     {
         std::size_t const other = 1 - place;
         std::string const& name = m_hosts[place].name;
-        if (auto const* give = std::get_if<net::hand_over_wanted>(&report)) {
+        if (auto const* give = std::get_if<net::hand_over_requested>(&report)) {
             tell(other, net::serve_handed_over{name, give->request});
         } else if (auto const* part =
-                       std::get_if<net::hand_over_part>(&report)) {
-            tell(other, net::take_part{name, part->chunk});
+                       std::get_if<net::hand_over_chunk_ready>(&report)) {
+            tell(other, net::receive_chunk{name, part->chunk});
         } else if (auto const* over =
-                       std::get_if<net::hand_over_over>(&report)) {
-            tell(other, net::take_end{name, over->end});
+                       std::get_if<net::hand_over_ended>(&report)) {
+            tell(other, net::receive_end{name, over->end});
         } else if (auto const* no =
                        std::get_if<net::hand_over_cancelled>(&report)) {
             tell(other, net::cancel_handed_over{name, no->id});
@@ -251,7 +251,7 @@
     hosts.on_turn = [&] {
         if (!lost && tokens_in(hosts.body) >= 5) {
             lost = true;
-            hosts.tell(0, net::lose_host{"host-1"});
+            hosts.tell(0, net::drop_host{"host-1"});
         }
     };
     std::string const body = hosts.chat(200);
--- a/tests/net/peer_link_test.cpp
+++ b/tests/net/peer_link_test.cpp
@@ -210,7 +210,7 @@
     auto right = std::make_unique<peer>(far.loop, "b");
     left.link->set_hosts({left.host, right->host});
     right->link->set_hosts({left.host, right->host});
-    left.link->keep_links({"b"});
+    left.link->set_persistent_peers({"b"});
     auto const both = [&] {
         far.loop.poll();
         return left.connected.size() == 1;
@@ -245,7 +245,7 @@
     peer right(far.loop, "b");
     left.link->set_hosts({left.host, right.host});
     right.link->set_hosts({left.host, right.host});
-    left.link->keep_links({"b"});
+    left.link->set_persistent_peers({"b"});
     REQUIRE(net.until([&] {
         far.loop.poll();
         return left.connected.size() == 1;
@@ -263,7 +263,7 @@
     peer left(net.loop, "a");
     auto right = std::make_unique<peer>(net.loop, "b");
     introduce({&left, right.get()});
-    left.link->keep_links({"b"});
+    left.link->set_persistent_peers({"b"});
     REQUIRE(net.until([&] {
         return left.connected.size() == 1;
     }));
@@ -287,7 +287,7 @@
     peer right(far.loop, "b");
     left.link->set_hosts({left.host, right.host});
     right.link->set_hosts({left.host, right.host});
-    left.link->keep_links({"b"});
+    left.link->set_persistent_peers({"b"});
     REQUIRE(net.until([&] {
         far.loop.poll();
         return left.connected.size() == 1;
@@ -341,14 +341,14 @@
 {
     // Someone who could listen sends a host's hello once more. The challenge
     // is another one by then.
-    net::peer_exchange first{{1}, {2}, "a", "b"};
-    auto const proof = net::make_proof(secret, net::proof_side::caller, first);
+    net::peer_handshake first{{1}, {2}, "a", "b"};
+    auto const proof = net::make_proof(secret, net::proof_side::dialer, first);
     auto other = first;
     other.challenge_nonce = {3};
     CHECK_FALSE(net::equal_proofs(
-        proof, net::make_proof(secret, net::proof_side::caller, other)));
+        proof, net::make_proof(secret, net::proof_side::dialer, other)));
     CHECK_FALSE(net::equal_proofs(
-        proof, net::make_proof(secret, net::proof_side::called, first)));
+        proof, net::make_proof(secret, net::proof_side::acceptor, first)));
     CHECK(net::make_nonce() != net::make_nonce());
 }
 
--- a/tests/net/read_ahead_test.cpp
+++ b/tests/net/read_ahead_test.cpp
@@ -1,7 +1,7 @@
 #include "lists/catalogue.hpp"
 #include "lists/key_hash.hpp"
+#include "net/caller_server.hpp"
 #include "net/exchange.hpp"
-#include "net/front.hpp"
 #include "runtime/event_loop.hpp"
 
 #include <arpa/inet.h>
@@ -57,21 +57,21 @@
     runtime::event_loop loop;
     int arrived = 0;
     int hung_up = 0;
-    net::front front(loop,
-                     {},
-                     {[&arrived](std::unique_ptr<net::exchange>) {
-                          ++arrived;
-                          return true;
-                      },
-                      [&hung_up](model::request_id) {
-                          ++hung_up;
-                      }});
-    front.use(make_catalogue());
+    net::caller_server server(loop,
+                              {},
+                              {[&arrived](std::unique_ptr<net::exchange>) {
+                                   ++arrived;
+                                   return true;
+                               },
+                               [&hung_up](model::request_id) {
+                                   ++hung_up;
+                               }});
+    server.use(make_catalogue());
     bufferevent* const client =
         bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
     sockaddr_in to{};
     to.sin_family = AF_INET;
-    to.sin_port = htons(front.port());
+    to.sin_port = htons(server.port());
     to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     bufferevent_socket_connect(
         client, reinterpret_cast<sockaddr*>(&to), sizeof(to));
