--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -5,9 +5,9 @@
 
 admission refused(refusal_reason reason)
 {
-    admission made;
-    made.refused = reason;
-    return made;
+    admission result;
+    result.refused = reason;
+    return result;
 }
 
 } // namespace
@@ -19,27 +19,28 @@
     if (table == nullptr) {
         return refused(refusal_reason::no_configuration);
     }
-    admission made;
-    made.route = table->match(request.authority, request.path);
-    if (made.route == nullptr) {
+    admission result;
+    result.route = table->match(request.authority, request.path);
+    if (result.route == nullptr) {
         return refused(refusal_reason::no_route);
     }
-    if (made.route->is_public || table->config().teams.empty()) {
-        return made;
+    if (result.route->is_public || table->config().teams.empty()) {
+        return result;
     }
-    // Before the look-up: a stale host knows neither keys that were taken
-    // away nor keys that were given.
+    // Checked before the look-up: a host with an expired lease knows neither
+    // revoked nor newly issued keys, so a key it does not find may still be
+    // valid.
     if (!lease.is_valid(request.now)) {
         return refused(refusal_reason::keys_stale);
     }
     if (request.key.empty()) {
         return refused(refusal_reason::key_missing);
     }
-    made.team = table->find_team(request.key);
-    if (made.team == nullptr) {
+    result.team = table->find_team(request.key);
+    if (result.team == nullptr) {
         return refused(refusal_reason::key_unknown);
     }
-    return made;
+    return result;
 }
 
 } // namespace caperjunction::routing
--- a/src/routing/admission.hpp
+++ b/src/routing/admission.hpp
@@ -11,30 +11,32 @@
 
 namespace caperjunction::routing {
 
-/// What admitting looks at.
+/// Properties of a request that admission depends on.
 struct admission_request
 {
     std::string_view authority;
     std::string_view path;
-    /// Empty: none was sent.
+    /// Empty if the request has no key.
     std::string_view key;
-    /// On the clock of `freshness`, read after the request.
+    /// Time on the clock of `key_lease`, read after the request has arrived.
     model::time_point now{};
 };
 
-/// A request that may go on, or why it may not.
+/// Result of admission: the matched route and team, or the reason for refusal.
 struct admission
 {
-    /// Null if refused.
+    /// Null if the request is refused.
     routing::route const* route = nullptr;
-    /// Null on open routes, and where no request needs a key.
+    /// Null on public routes and if the configuration has no teams.
     routing::team const* team = nullptr;
     std::optional<refusal_reason> refused;
 };
 
-/// Checks route and key against the newest configuration.
+/// Checks the route and the API key of a request against the newest
+/// configuration.
 ///
-/// \pre Pointers in the result are valid as long as `table`.
+/// `table` may be null, before a configuration is known. Pointers in the result
+/// are valid as long as `table`.
 /// Thread safety: any thread.
 admission admit(route_table const* table,
                 key_lease const& lease,
--- a/src/routing/configuration.hpp
+++ b/src/routing/configuration.hpp
@@ -11,14 +11,14 @@
 
 namespace caperjunction::routing {
 
-/// One version of everything that the operator writes.
+/// One version of the operator's complete configuration.
 struct configuration
 {
     std::uint64_t version = 0;
     std::vector<route> routes;
     std::vector<service> services;
     caller_limits limits;
-    /// Empty: no request needs a key.
+    /// If empty, no request needs a key.
     std::vector<team> teams;
 };
 
--- a/src/routing/crash_suspects.cpp
+++ b/src/routing/crash_suspects.cpp
@@ -7,21 +7,22 @@
 void crash_suspects::record_crash(std::uint64_t fingerprint,
                                   model::time_point now)
 {
-    if (m_known.size() >= max_tracked) {
-        std::erase_if(m_known, [now](auto const& item) {
-            return now - item.second.last > memory || item.second.crashes == 1;
+    if (m_records.size() >= max_tracked) {
+        std::erase_if(m_records, [now](auto const& item) {
+            return now - item.second.last > retention
+                   || item.second.crashes == 1;
         });
     }
-    record& known = m_known[fingerprint];
-    known.crashes = now - known.last > memory ? 1 : known.crashes + 1;
+    record& known = m_records[fingerprint];
+    known.crashes = now - known.last > retention ? 1 : known.crashes + 1;
     known.last = now;
 }
 
 std::uint32_t crash_suspects::crashes_of(std::uint64_t fingerprint,
                                          model::time_point now) const
 {
-    auto const found = m_known.find(fingerprint);
-    return found == m_known.end() || now - found->second.last > memory
+    auto const found = m_records.find(fingerprint);
+    return found == m_records.end() || now - found->second.last > retention
                ? 0
                : found->second.crashes;
 }
@@ -31,8 +32,8 @@
                                  model::time_point now) const
 {
     std::vector<crash_suspect> list;
-    for (auto const& [fingerprint, known] : m_known) {
-        if (now - known.last <= memory) {
+    for (auto const& [fingerprint, known] : m_records) {
+        if (now - known.last <= retention) {
             list.push_back({fingerprint, known.crashes});
         }
     }
--- a/src/routing/crash_suspects.hpp
+++ b/src/routing/crash_suspects.hpp
@@ -10,40 +10,42 @@
 
 namespace caperjunction::routing {
 
-/// Finds the request that breaks each upstream which runs it.
+/// Finds requests that crash every upstream they run on.
 ///
-/// Its caller sends it again and again, and every try costs an upstream for
-/// seconds and all that runs there. Callers notice broken streams that come
-/// in bunches. What was on its way when an upstream broke is suspect; what
-/// was on its way at several breaks, on whichever host, and never ended well
-/// is not sent any more.
+/// The caller of such a request repeats it, and each attempt takes an upstream
+/// down for seconds and ends everything that runs there. The symptom is broken
+/// streams in bursts. Each request in flight at a crashed upstream becomes a
+/// suspect. A request that was in flight at several crashes, on any hosts, and
+/// never succeeded is no longer sent.
 ///
 /// Thread safety: none; owned by one task.
 class crash_suspects
 {
 public:
-    /// Breaks, over all hosts, from which on a request isn't sent.
+    /// Number of crashes over all hosts from which a request is refused.
     static constexpr std::uint32_t max_crashes = 3;
 
-    /// The upstream broke while it had the request.
+    /// Records that an upstream crashed while it had the request.
     void record_crash(std::uint64_t fingerprint, model::time_point now);
 
-    /// The request ended well: it was not the cause.
+    /// Records that the request succeeded, so it is not the cause of the
+    /// crashes.
     void record_success(std::uint64_t fingerprint)
     {
-        m_known.erase(fingerprint);
+        m_records.erase(fingerprint);
     }
 
     bool is_empty() const
     {
-        return m_known.empty();
+        return m_records.empty();
     }
 
-    /// Crashes counted by this host.
+    /// Returns the crashes that this host has counted.
     std::uint32_t crashes_of(std::uint64_t fingerprint,
                              model::time_point now) const;
 
-    /// What to tell the others, the worst first, at most `most`.
+    /// Returns up to `max_count` suspects to send to other hosts, most crashes
+    /// first.
     std::vector<crash_suspect> suspects_to_send(std::size_t max_count,
                                                 model::time_point now) const;
 
@@ -54,11 +56,12 @@
         model::time_point last{};
     };
 
-    /// A caller comes back within seconds; a day's breaks are no evidence.
-    static constexpr std::chrono::seconds memory{120};
+    /// Callers repeat a request within seconds. Crashes of a whole day are not
+    /// evidence against one request.
+    static constexpr std::chrono::seconds retention{120};
     static constexpr std::size_t max_tracked = 4'096;
 
-    std::unordered_map<std::uint64_t, record> m_known;
+    std::unordered_map<std::uint64_t, record> m_records;
 };
 
 } // namespace caperjunction::routing
--- a/src/routing/distance.hpp
+++ b/src/routing/distance.hpp
@@ -5,7 +5,7 @@
 
 namespace caperjunction::routing {
 
-/// How far an upstream stands from this host.
+/// Network distance between an upstream and this host.
 enum class distance : std::uint8_t
 {
     same_data_centre,
--- a/src/routing/fetch_scheduler.cpp
+++ b/src/routing/fetch_scheduler.cpp
@@ -5,19 +5,22 @@
 namespace caperjunction::routing {
 namespace {
 
-/// The host's own reader gets a change within milliseconds; a change that
-/// another host has had for so long will not come that way.
+/// Delay before a store watcher fetches a change from a peer. Its own watch
+/// delivers a change within milliseconds; a change that a peer has had for this
+/// long will not arrive that way.
 constexpr model::milliseconds store_watcher_delay{500};
-/// The one that speaks for a data centre brings a change into it, and the
-/// others take it from there; when it doesn't, they go far themselves.
+/// Delay before a fetch from another data centre. The aggregator fetches the
+/// change, and the other hosts fetch it from the aggregator. If it does not,
+/// they fetch it from the other data centre themselves.
 constexpr model::milliseconds remote_fetch_delay{500};
-/// A host that starts reads the store itself, in tens of milliseconds where
-/// that is near. When the store is away, peers are asked so much later.
+/// Delay before the first fetch of a starting host. Such a host reads the store
+/// itself, in tens of milliseconds if the store is near. Peers are asked after
+/// this delay if the store is unavailable.
 constexpr model::milliseconds first_fetch_delay{200};
-/// What hosts of a data centre give each other together: eight links of 10
-/// Mbit/s, the narrowest that are met.
+/// Rate at which the hosts of a data centre together send lists to each other:
+/// eight links of 10 Mbit/s, the narrowest in use.
 constexpr double shared_bytes_per_second = 8e6;
-/// A change waits no longer, however much came before it.
+/// Maximum delay of a change, whatever the size of earlier lists.
 constexpr model::milliseconds max_back_off{800};
 
 } // namespace
--- a/src/routing/fetch_scheduler.hpp
+++ b/src/routing/fetch_scheduler.hpp
@@ -11,10 +11,11 @@
 
 namespace caperjunction::routing {
 
-/// Decides when a host asks another one for what it lacks of one lane.
+/// Decides when a host fetches missing entries of one list kind from a peer.
 ///
-/// Made for fleets in which a few hosts watch the store, for a store that
-/// refuses one host alone, and for starts while it is away.
+/// Fetches are needed in fleets where only a few hosts watch the store, if the
+/// store refuses a single host, and for hosts that start while the store is
+/// unavailable.
 ///
 /// Thread safety: none; owned by one task.
 class fetch_scheduler
@@ -24,28 +25,29 @@
     {
         /// A configuration is in force.
         bool has_configuration = false;
-        /// This host watches the store for others.
+        /// The host watches the store for others.
         bool is_store_watcher = false;
-        /// It brings changes into its data centre.
+        /// The host fetches changes into its data centre.
         bool is_aggregator = false;
     };
 
-    /// Whether to ask `newer` now, which may be nobody.
+    /// Returns whether to fetch from `newer` now. `newer` may be empty.
     bool is_due(peer_table::source const& newer,
                 host_state const& host,
                 model::time_point now);
 
-    /// A list of `bytes` has come, which `nearby` hosts need too.
+    /// Delays the next fetch after a list of `bytes` that `nearby_hosts` need
+    /// too.
     ///
-    /// Those that have it may have narrow links. Asked for again at once while
-    /// thousands of entries come in a row, these would be full with lists, and
-    /// callers would wait for their answers.
+    /// The sources may have narrow links. If hosts fetch again at once while
+    /// thousands of entries arrive in a row, the links are full of lists and
+    /// answers to callers are delayed.
     void back_off(std::size_t bytes,
                   std::size_t nearby_hosts,
                   model::time_point now);
 
-    /// For how long a change has been known to be there that this host, which
-    /// has all up to `own`, lacks; `newest` is the newest of others.
+    /// Returns for how long this host, which has all changes up to `own`, has
+    /// lacked a change that others have; `newest` is their newest revision.
     model::milliseconds
     lag(std::uint64_t own, std::uint64_t newest, model::time_point now);
 
--- a/src/routing/key_lease.hpp
+++ b/src/routing/key_lease.hpp
@@ -7,21 +7,21 @@
 
 namespace caperjunction::routing {
 
-/// Until when what a host believes of keys may be acted on.
+/// Time limit on the use of API keys known to this host.
 ///
-/// A host that is cut from the store doesn't hear that a key was taken away
-/// and would serve it for as long as the cut lasts. Nobody notices but the
-/// holder of a leaked key. So a belief carries the time as of which the store
-/// has confirmed it, and keyed requests are refused (they may find another
-/// host) shortly before it is too old.
+/// A host without a connection to the store does not learn that a key was
+/// revoked and would accept it for the whole outage. The only symptom is
+/// continued use of a leaked key. The lease therefore starts at the time as of
+/// which the store confirmed the keys. Requests with a key are refused shortly
+/// before the lease expires; the caller may find another host.
 ///
-/// Times are of a clock that counts suspended time (CLOCK_BOOTTIME).
+/// Times are on a clock that includes suspended time (CLOCK_BOOTTIME).
 ///
 /// Thread safety: none; owned by one task.
 class key_lease
 {
 public:
-    /// \pre lifetime is above zero.
+    /// \pre lifetime is greater than zero.
     explicit key_lease(model::milliseconds lifetime)
         : m_lifetime(lifetime)
     {
@@ -32,7 +32,7 @@
         m_lifetime = lifetime;
     }
 
-    /// The store answered with all changes up to `as_of`, at the latest.
+    /// Records that this host has all changes that the store had at `as_of`.
     void renew(model::time_point as_of)
     {
         if (!m_as_of || *m_as_of < as_of) {
@@ -40,13 +40,14 @@
         }
     }
 
-    /// Whether a request that was sent at `now` or earlier may use a key.
+    /// Returns whether a request that was sent at `now` or earlier may use a
+    /// key.
     bool is_valid(model::time_point now) const
     {
         return m_as_of && now - *m_as_of < m_lifetime - margin;
     }
 
-    /// Zero time if nothing was ever confirmed.
+    /// Returns the time since the last confirmation; zero if there was none.
     model::milliseconds age(model::time_point now) const
     {
         return m_as_of ? std::chrono::duration_cast<model::milliseconds>(
@@ -60,8 +61,8 @@
     }
 
 private:
-    /// For clocks that run at different rates: a thousandth of the usual
-    /// lifetime many times over.
+    /// Allowance for clocks that run at different rates. Many times a
+    /// thousandth of the default lifetime.
     static constexpr model::milliseconds margin{100};
 
     model::milliseconds m_lifetime;
--- a/src/routing/load_change_detector.hpp
+++ b/src/routing/load_change_detector.hpp
@@ -10,19 +10,19 @@
 
 namespace caperjunction::routing {
 
-/// Whether what this host has sent differs so much from what it last told
-/// that hosts far away would place otherwise.
+/// Detects changes of this host's load that affect placement on hosts in other
+/// data centres.
 ///
-/// Made for fleets whose data centres are joined by narrow links that are
-/// paid for by volume: told by a clock alone, loads that hardly change took
-/// as many bytes there as the requests themselves. A burst still is told at
-/// once.
+/// Links between data centres may be narrow and billed by volume. With digests
+/// at a fixed period only, nearly unchanged loads took as many bytes there as
+/// the requests themselves. A burst is still advertised at once.
 ///
 /// Thread safety: none; owned by one task.
 class load_change_detector
 {
 public:
-    /// Whether `loads` are news against what was last told, some time ago.
+    /// Returns whether `loads` differ enough from the advertised loads and the
+    /// minimum period has passed.
     bool has_significant_change(std::vector<peer_load> const& loads,
                                 model::time_point now) const
     {
@@ -34,19 +34,19 @@
         std::size_t known = 0;
         for (peer_load const& item : loads) {
             auto const found = m_advertised.find(item.upstream);
-            upstream_load const before =
+            upstream_load const advertised =
                 found == m_advertised.end() ? upstream_load{} : found->second;
             known += found == m_advertised.end() ? 0 : 1;
             tokens += difference(item.load.pending_prefill_tokens,
-                                 before.pending_prefill_tokens);
-            requests += difference(item.load.running, before.running);
+                                 advertised.pending_prefill_tokens);
+            requests += difference(item.load.running, advertised.running);
         }
-        // Engines that are no longer among them have ended all they had.
+        // Upstreams missing from `loads` have no requests left.
         return tokens >= significant_tokens || requests >= significant_requests
                || m_advertised.size() - known >= significant_requests;
     }
 
-    /// `loads` were told to all that wait for news.
+    /// Records that `loads` were sent to all hosts that wait for a change.
     void record_advertised(std::vector<peer_load> const& loads,
                            model::time_point now)
     {
@@ -59,10 +59,10 @@
 
 private:
     static constexpr model::milliseconds min_period{200};
-    /// An engine reads them in the time that a digest is on its way, or a
-    /// little more.
+    /// An engine reads this many tokens in about the transit time of a digest,
+    /// or slightly more.
     static constexpr std::uint64_t significant_tokens = 4'000;
-    /// Fewer hardly slow an engine down.
+    /// Fewer requests hardly slow an engine down.
     static constexpr std::uint64_t significant_requests = 4;
 
     static std::uint64_t difference(std::uint64_t a, std::uint64_t b)
--- a/src/routing/overload_rule.hpp
+++ b/src/routing/overload_rule.hpp
@@ -8,39 +8,42 @@
 
 namespace caperjunction::routing {
 
-/// What decides whether a prompt is taken under overload.
+/// Inputs of the decision whether to accept a prompt under overload.
 struct overload_inputs
 {
-    /// Time to its first event at the best engine.
+    /// Time to the first event at the best engine.
     model::milliseconds forecast{0};
     model::milliseconds target{0};
-    /// No route of prompts ranks higher, or lower.
+    /// No route with prompts has a higher, or a lower, urgency.
     bool is_most_urgent = false;
     bool is_least_urgent = false;
 };
 
-/// How far engines may be behind, as shares of the latency target.
+/// Maximum forecast delays as shares of the latency target, and bounds of the
+/// retry delay.
 struct overload_limits
 {
-    /// Forecasts are short under overload: a prompt of the least urgent kind
-    /// that is expected later than this is late.
+    /// Forecasts are too short under overload: a least urgent prompt with a
+    /// forecast above this share misses its target.
     double max_share_least_urgent = 0.6;
-    /// Engines take the more urgent first: those wait for less than is
-    /// forecast.
+    /// Engines serve more urgent prompts first, so these wait for less time
+    /// than forecast.
     double max_share_medium_urgency = 1.25;
-    /// Bounds of the time after which a caller is told to come back.
+    /// Bounds of the delay that a refused caller is given.
     model::milliseconds min_retry_after{300};
     model::milliseconds latest{2'000};
 };
 
-/// When a prompt that is not taken should come back; nothing if it is taken.
+/// Returns the retry delay of a prompt that is refused because of overload;
+/// nothing if it is accepted.
 ///
-/// Made for bursts of long prompts beyond what all engines together read.
-/// Taken all the same, they queue until each is late, and engines that read
-/// without pause make an event of every stream last ten times as long, so
-/// that streams in their middle run into their timeouts: more is read and
-/// less is answered. The least urgent are turned away first, as long as
-/// nothing of them is on an engine, and told when the queue will have shrunk.
+/// Bursts of long prompts may exceed the capacity of all engines together. If
+/// all are accepted, they queue until each one is late. Engines that read
+/// prompts without a break take ten times as long for each event of a stream,
+/// so that running streams time out: more tokens are read and fewer requests
+/// are answered. The least urgent prompts are refused first, before any engine
+/// has received them. The retry delay is the time until the queue is short
+/// enough.
 inline std::optional<model::milliseconds>
 overload_retry_after(overload_inputs const& inputs,
                      overload_limits const& limits = {})
--- a/src/routing/peer_digest.hpp
+++ b/src/routing/peer_digest.hpp
@@ -15,8 +15,8 @@
 
 namespace caperjunction::routing {
 
-/// What a host has sent to one upstream and seen of it, or how many of a
-/// service's most urgent streams it runs.
+/// Load and performance of one upstream as one host sees it, or the number of
+/// most urgent streams of a service on that host.
 struct peer_load
 {
     /// Hash of the upstream's id, or `urgent_load_key` of the service.
@@ -25,91 +25,94 @@
     upstream_performance performance;
 };
 
-/// Under which loads tell of the upstream `id`. Two of some thousand share a
-/// key once in a while; placing then takes each to be as busy as both.
+/// Returns the key under which hosts report the load of upstream `id`. Among
+/// several thousand upstreams, two occasionally share a key. Placement then
+/// assumes the sum of both loads for each.
 inline std::uint32_t upstream_load_key(std::string_view id)
 {
     return static_cast<std::uint32_t>(XXH3_64bits(id.data(), id.size()));
 }
 
-/// Under which loads tell the most urgent streams of `service`.
+/// Returns the key under which hosts report the most urgent streams of
+/// `service`.
 inline std::uint32_t urgent_load_key(std::string_view service)
 {
-    constexpr std::uint64_t unlike_ids = 2;
+    constexpr std::uint64_t service_seed = 2;
     return static_cast<std::uint32_t>(
-        XXH3_64bits_withSeed(service.data(), service.size(), unlike_ids));
+        XXH3_64bits_withSeed(service.data(), service.size(), service_seed));
 }
 
-/// A request that was on an upstream when that broke.
+/// A request that was in flight at an upstream when it crashed.
 struct crash_suspect
 {
     std::uint64_t fingerprint = 0;
     std::uint32_t crashes = 0;
 };
 
-/// What an upstream has said to a host of the requests that it takes.
+/// Request limit that an upstream has reported to a host.
 struct advertised_limit
 {
-    /// As `upstream_load_key` gives it.
+    /// Key from `upstream_load_key`.
     std::uint32_t upstream = 0;
-    /// Requests a second; nothing: as many as come.
+    /// No value: the upstream has no limit.
     std::optional<double> requests_per_second;
-    /// Since it said so.
+    /// Time since the upstream reported it.
     model::milliseconds age{0};
 };
 
-/// A host that another one hears.
+/// A host from which the sender of a digest receives digests.
 struct neighbour
 {
     model::endpoint at;
-    /// Hash of its data centre's name.
+    /// Hash of the name of its data centre.
     std::uint64_t data_centre = 0;
-    /// It speaks to other data centres for its own.
+    /// It exchanges state with other data centres.
     bool is_gateway = false;
 };
 
-/// What one host tells another several times a second.
+/// State that a host sends to other hosts several times a second.
 struct peer_digest
 {
-    /// Differs with each start of the sender.
+    /// Differs for each start of the sender.
     std::uint64_t generation = 0;
     std::uint64_t sequence = 0;
     store_revisions revisions;
-    /// As of when the store had no newer configuration than `known` names, on
-    /// the receiver's clock; nothing if that can't be told.
+    /// Time as of which the store had no configuration newer than in
+    /// `revisions`, on the receiver's clock; nothing if unknown.
     std::optional<model::time_point> confirmed_at;
-    /// Hosts that the sender has known at one time.
+    /// Largest number of hosts that the sender has known at one time.
     std::uint32_t hosts_seen = 0;
     /// Hash of the name of the sender's data centre.
     std::uint64_t data_centre = 0;
-    /// Hosts of the sender's data centre that it hears, with itself.
+    /// Hosts of the sender's data centre that the sender receives digests from,
+    /// including itself.
     std::uint32_t hosts_in_data_centre = 0;
-    /// All hosts that are there, and their data centres, as the sender counts
-    /// them; from one that relays it is more than its neighbours hear.
+    /// Hosts in the fleet and their data centres, as counted by the sender. A
+    /// gateway counts more hosts than its neighbours receive digests from.
     std::uint32_t hosts_alive = 0;
     std::uint32_t data_centres = 0;
-    /// The sender is one of those that exchange beliefs between data centres.
+    /// The sender exchanges state with other data centres.
     bool is_gateway = false;
-    /// The sender has not heard the receiver and wants an answer.
+    /// The sender has received nothing from the receiver and requests a digest.
     bool requests_reply = false;
-    /// Told to hosts nearby: what the sender itself has sent.
+    /// For near hosts: the requests of the sender itself.
     std::vector<peer_load> loads;
-    /// The sender speaks for its data centre.
+    /// The sender aggregates the loads of its data centre.
     bool is_aggregator = false;
-    /// Told to those that speak for other data centres: what all hosts of the
-    /// sender's have sent.
+    /// For aggregators of other data centres: the requests of all hosts in the
+    /// sender's data centre.
     std::vector<peer_load> aggregated_loads;
-    /// Told by the one that speaks to hosts nearby: what all hosts of all
-    /// other data centres have sent.
+    /// From an aggregator to near hosts: the requests of all hosts in all other
+    /// data centres.
     std::vector<peer_load> remote_loads;
-    /// Told to hosts nearby: those of the sender, and from one that speaks for
-    /// its data centre those of all others; told to those that speak for other
-    /// data centres: those of the sender's.
+    /// For near hosts: suspects of the sender and, from an aggregator, of all
+    /// other data centres. For aggregators of other data centres: suspects of
+    /// the sender's data centre.
     std::vector<crash_suspect> suspects;
-    /// What upstreams have said of the requests that they take, told to whom
-    /// `suspects` are told.
+    /// Limits reported by upstreams; sent to the same hosts as `suspects`.
     std::vector<advertised_limit> limits;
-    /// Other hosts that the sender hears and that concern the receiver.
+    /// Hosts that the sender receives digests from and that are relevant to the
+    /// receiver.
     std::vector<neighbour> neighbours;
 };
 
--- a/src/routing/peer_limits.cpp
+++ b/src/routing/peer_limits.cpp
@@ -8,7 +8,7 @@
 namespace caperjunction::routing {
 namespace {
 
-/// Of a whole data centre, in one digest.
+/// Maximum limits of a data centre in one digest.
 constexpr std::size_t max_limits_sent = 256;
 
 double phase_of(std::uint64_t hash)
@@ -59,7 +59,8 @@
 {
     limit_notices sum;
     for (auto const& [address, known] : m_peers) {
-        // What one that speaks tells here is already of other data centres.
+        // The limits that an aggregator sends to near hosts include those of
+        // other data centres.
         if (is_near(known) && !known.digest.is_aggregator) {
             add_limits(sum, known);
         }
@@ -98,7 +99,8 @@
         }
     }
     if (!is_large()) {
-        // Hosts that aren't heard any more may go on sending.
+        // Hosts that this host no longer receives digests from may still send
+        // requests.
         share.hosts = std::max(share.hosts, m_largest_fleet_seen);
     }
     return share;
--- a/src/routing/peer_loads.cpp
+++ b/src/routing/peer_loads.cpp
@@ -37,13 +37,13 @@
     }
 }
 
-/// Suspects of a whole data centre that one digest tells. When engines crash
-/// under load, each crash makes every request there a suspect: 900 of them,
-/// told several times a second, filled links of 10 Mbit/s, and loads and
-/// changes were lost with them.
+/// Maximum suspects of a data centre in one digest. When engines crash under
+/// load, each crash makes every request in flight there a suspect. 900
+/// suspects, sent several times a second, filled links of 10 Mbit/s, and
+/// digests with loads and changes were lost.
 constexpr std::size_t max_suspects_sent = 64;
 
-/// The worst ones.
+/// Returns the suspects with the most crashes.
 std::vector<crash_suspect> listed(crash_counts const& sum)
 {
     std::vector<crash_suspect> list;
@@ -62,8 +62,8 @@
 
 } // namespace
 
-// Two of one data centre may both think that they speak for it, while one of
-// them is new: the one that hears more hosts is counted.
+// Two hosts of one data centre may both act as aggregator while one of them is
+// starting. The one that receives digests from more hosts is used.
 std::vector<peer_table::peer const*> peer_table::remote_aggregators() const
 {
     std::map<std::uint64_t, peer const*> by_data_centre;
@@ -112,7 +112,8 @@
 {
     crash_counts sum;
     for (auto const& [address, known] : m_peers) {
-        // What one that speaks tells here is already of other data centres.
+        // The suspects that an aggregator sends to near hosts include those of
+        // other data centres.
         if (is_near(known) && !known.digest.is_aggregator) {
             add(sum, known.digest.suspects);
         }
@@ -137,22 +138,22 @@
     own.data_centres = static_cast<std::uint32_t>(m_data_centre_count);
     own.is_gateway = is_gateway();
     own.is_aggregator = is_aggregator();
-    digest_set made{own, own, own};
-    made.aggregated_loads.loads.clear();
-    made.presence.loads.clear();
+    digest_set result{own, own, own};
+    result.aggregated_loads.loads.clear();
+    result.presence.loads.clear();
     if (!own.is_aggregator) {
-        return made;
+        return result;
     }
-    made.aggregated_loads.aggregated_loads = aggregate_with(own.loads);
-    made.loads.remote_loads = remote_loads();
+    result.aggregated_loads.aggregated_loads = aggregate_with(own.loads);
+    result.loads.remote_loads = remote_loads();
     auto const append = [](auto& to, auto const& more) {
         to.insert(to.end(), more.begin(), more.end());
     };
-    append(made.aggregated_loads.suspects, local_suspects());
-    append(made.loads.suspects, remote_suspects());
-    append(made.aggregated_loads.limits, local_limits());
-    append(made.loads.limits, remote_limits());
-    return made;
+    append(result.aggregated_loads.suspects, local_suspects());
+    append(result.loads.suspects, remote_suspects());
+    append(result.aggregated_loads.limits, local_limits());
+    append(result.loads.limits, remote_limits());
+    return result;
 }
 
 void peer_table::aggregate()
@@ -179,8 +180,8 @@
     if (is_aggregator()) {
         add(m_loads, remote_loads());
         add(m_crashes, remote_suspects());
-        for (peer const* const far : remote_aggregators()) {
-            add_limits(m_limits, *far);
+        for (peer const* const remote : remote_aggregators()) {
+            add_limits(m_limits, *remote);
         }
     } else if (aggregator != nullptr) {
         add(m_loads, aggregator->digest.remote_loads);
--- a/src/routing/peer_recipients.cpp
+++ b/src/routing/peer_recipients.cpp
@@ -5,22 +5,23 @@
 namespace caperjunction::routing {
 namespace {
 
-/// A silent host is asked this often: it may have started anew.
+/// Period of digests to hosts that do not respond: they may have restarted.
 constexpr model::milliseconds contact_period{1'000};
-/// Hosts that watch the store tell other data centres this often, beside each
-/// change: it confirms the keys there.
+/// Period of digests from store watchers to other data centres, in addition to
+/// those for each change. They renew the key leases there.
 constexpr model::milliseconds store_watcher_period{300};
-/// How often loads that are no news are told to other data centres.
+/// Period of loads without a significant change to other data centres.
 constexpr model::milliseconds remote_load_period{800};
-/// How often a host that is settled is told of the same neighbours.
+/// Period of neighbour lists to the same host in the steady state.
 constexpr model::milliseconds neighbours_period{500};
-/// Hosts nearby that are told of a change at once, and may be asked for it.
+/// Near hosts that a change is sent to at once and that other hosts may fetch
+/// it from.
 constexpr std::size_t recipients_per_change = 12;
 
 } // namespace
 
-// A host alone in its data centre ranks first there and relays: it asks the
-// seeds, and these name its neighbours.
+// A host without others in its data centre has rank 0 there and is a gateway:
+// it contacts the seeds, which send it its neighbours.
 bool peer_table::is_worth_contacting(peer const& known) const
 {
     return !is_large() || is_in_data_centre(known)
@@ -40,8 +41,8 @@
            || !known.sent_revisions.has_same_changes_as(own);
 }
 
-// Within a data centre digests cost nothing but the time to read them; what
-// crosses between data centres is paid for.
+// Within a data centre a digest costs only the time to read it. Traffic between
+// data centres is billed.
 bool peer_table::is_due_for_loads(peer const& known,
                                   model::time_point now,
                                   bool has_load_change) const
@@ -50,8 +51,8 @@
            || now - known.sent_at >= remote_load_period;
 }
 
-// A digest replaces the one before it: who places by what this host says of
-// loads must be told of them each time.
+// A digest replaces the previous one of its sender. A recipient that places
+// requests by this host's loads needs them in every digest.
 digest_kind peer_table::kind_for(peer const& known) const
 {
     if (is_near(known)) {
@@ -70,12 +71,13 @@
     known.sent_at = now;
     known.sent_revisions = own;
     known.reply_requested = false;
-    recipient made{at, kind_for(known), !known.is_live};
-    made.wants_neighbours = now - known.neighbours_sent_at >= neighbours_period;
-    if (made.wants_neighbours) {
+    recipient result{at, kind_for(known), !known.is_live};
+    result.wants_neighbours =
+        now - known.neighbours_sent_at >= neighbours_period;
+    if (result.wants_neighbours) {
         known.neighbours_sent_at = now;
     }
-    return made;
+    return result;
 }
 
 std::vector<peer_table::recipient> peer_table::recipients(
@@ -106,14 +108,14 @@
                                  std::uint64_t random_value)
 {
     std::size_t const neighbours = near_count();
-    std::size_t place = 0;
+    std::size_t index = 0;
     std::vector<recipient> due;
     for (auto& [address, known] : m_peers) {
         bool is_due = false;
         if (is_near(known)) {
             is_due =
-                (place + random_value) % neighbours < recipients_per_change;
-            ++place;
+                (index + random_value) % neighbours < recipients_per_change;
+            ++index;
         } else {
             is_due = known.is_live && is_due_remote(known, now, own);
         }
@@ -148,15 +150,16 @@
         }
     }
     std::vector<neighbour> list;
-    auto const take = [&list, random_value](std::vector<neighbour> const& from,
-                                            std::size_t limit) {
+    auto const append = [&list,
+                         random_value](std::vector<neighbour> const& from,
+                                       std::size_t limit) {
         std::size_t const count = std::min(from.size(), limit);
         for (std::size_t step = 0; step < count; ++step) {
             list.push_back(from[(random_value + step) % from.size()]);
         }
     };
-    take(gateways, max_count / 2);
-    take(in_data_centre, max_count - list.size());
+    append(gateways, max_count / 2);
+    append(in_data_centre, max_count - list.size());
     return list;
 }
 
--- a/src/routing/peer_table.cpp
+++ b/src/routing/peer_table.cpp
@@ -8,18 +8,18 @@
 namespace caperjunction::routing {
 namespace {
 
-/// Three digests and more at the pace of the largest data centres, and three
+/// Longer than three digest periods, both in the largest data centres and
 /// between data centres.
 constexpr model::milliseconds silence_limit{3'500};
-/// Silent for so long, a host that isn't a seed is taken for replaced.
+/// After this time a silent host that is not a seed is considered replaced.
 constexpr model::milliseconds forget_after{30'000};
-/// Hosts that are known at once; a stranger can't fill the memory.
+/// Limits the memory that unknown senders can use.
 constexpr std::size_t max_peers = 1'024;
 
-/// Two or three may be lost at once, or be cut from the store, before the
-/// others notice by the age of what they hear.
+/// Two or three watchers may fail or lose the store at once before the other
+/// hosts notice by the age of what they receive.
 constexpr std::size_t store_watchers = 5;
-/// Hosts of a data centre that exchange beliefs with others.
+/// Hosts of a data centre that exchange state with other data centres.
 constexpr std::size_t gateways_per_data_centre = 2;
 
 } // namespace
@@ -36,13 +36,13 @@
 void peer_table::seeds(std::vector<model::endpoint> const& seeds)
 {
     for (model::endpoint const& seed : seeds) {
-        if (peer* const known = learn(seed)) {
+        if (peer* const known = find_or_add(seed)) {
             known->is_seed = true;
         }
     }
 }
 
-peer_table::peer* peer_table::learn(model::endpoint const& address)
+peer_table::peer* peer_table::find_or_add(model::endpoint const& address)
 {
     if (address == m_own) {
         return nullptr;
@@ -54,9 +54,9 @@
     return m_peers.size() < max_peers ? &m_peers[address] : nullptr;
 }
 
-void peer_table::learn(neighbour const& other, model::time_point now)
+void peer_table::add_neighbour(neighbour const& other, model::time_point now)
 {
-    peer* const known = learn(other.at);
+    peer* const known = find_or_add(other.at);
     if (known == nullptr) {
         return;
     }
@@ -72,16 +72,16 @@
                                peer_digest const& digest,
                                model::time_point now)
 {
-    peer* const sender = learn(from);
+    peer* const sender = find_or_add(from);
     if (sender == nullptr) {
         return;
     }
-    // Another generation is another process, whichever number is higher: the
-    // time of day may have jumped back between the two starts.
-    bool const is_old = sender->is_live
-                        && digest.generation == sender->digest.generation
-                        && digest.sequence <= sender->digest.sequence;
-    if (is_old) {
+    // A different generation is a different process, whichever number is
+    // higher: the time of day may have moved back between two starts.
+    bool const is_outdated = sender->is_live
+                             && digest.generation == sender->digest.generation
+                             && digest.sequence <= sender->digest.sequence;
+    if (is_outdated) {
         return;
     }
     m_now = std::max(m_now, now);
@@ -96,7 +96,7 @@
     sender->received_at = now;
     sender->reply_requested = digest.requests_reply;
     for (neighbour const& other : digest.neighbours) {
-        learn(other, now);
+        add_neighbour(other, now);
     }
     if (has_new_counts) {
         recount();
@@ -115,8 +115,8 @@
             known.is_live = false;
         }
         auto const last = std::max(known.received_at, known.learned_at);
-        bool const is_gone = !known.is_seed && now - last > forget_after;
-        item = is_gone ? m_peers.erase(item) : std::next(item);
+        bool const is_replaced = !known.is_seed && now - last > forget_after;
+        item = is_replaced ? m_peers.erase(item) : std::next(item);
     }
     recount();
 }
@@ -140,27 +140,27 @@
         if (is_in_data_centre(known)) {
             ++m_local_peers;
             m_local_rank += ranks_before(address, m_own) ? 1 : 0;
-            bool const says_more =
+            bool const has_larger_count =
                 known.digest.is_gateway
                 && (gateway == nullptr
                     || gateway->hosts_alive < known.digest.hosts_alive);
-            gateway = says_more ? &known.digest : gateway;
+            gateway = has_larger_count ? &known.digest : gateway;
             continue;
         }
-        data_centre_hosts& there = others[known.digest.data_centre];
-        ++there.received;
-        there.reported =
-            std::max(there.reported,
+        data_centre_hosts& count = others[known.digest.data_centre];
+        ++count.received;
+        count.reported =
+            std::max(count.reported,
                      std::size_t{std::min<std::uint32_t>(
                          known.digest.hosts_in_data_centre, max_peers)});
     }
     m_fleet_size = 1 + m_local_peers;
-    for (auto const& [id, there] : others) {
-        m_fleet_size += std::max(there.received, there.reported);
+    for (auto const& [id, count] : others) {
+        m_fleet_size += std::max(count.received, count.reported);
     }
     m_data_centre_count = 1 + others.size();
-    // Those that relay count for themselves: a count that they took from each
-    // other would never fall.
+    // Gateways use their own count. If they took it from each other, it would
+    // never decrease.
     if (gateway != nullptr && !is_gateway()) {
         m_fleet_size =
             std::max(m_fleet_size,
@@ -237,20 +237,19 @@
                                           list_kind which,
                                           std::uint64_t random_value) const
 {
-    std::vector<source> nearby;
-    std::vector<source> far;
+    std::vector<source> near;
+    std::vector<source> remote;
     for (auto const& [address, known] : m_peers) {
-        bool const knows_more =
-            known.digest.revisions.of(which) > own.of(which);
-        if (known.is_live && knows_more) {
+        bool const has_newer = known.digest.revisions.of(which) > own.of(which);
+        if (known.is_live && has_newer) {
             bool const is_near = is_in_data_centre(known);
             bool const sends_combined_list =
                 known.digest.revisions.configuration == 0;
-            (is_near ? nearby : far)
+            (is_near ? near : remote)
                 .push_back({&address, is_near, sends_combined_list});
         }
     }
-    std::vector<source> const& from = nearby.empty() ? far : nearby;
+    std::vector<source> const& from = near.empty() ? remote : near;
     return from.empty() ? source{} : from[random_value % from.size()];
 }
 
--- a/src/routing/peer_table.hpp
+++ b/src/routing/peer_table.hpp
@@ -13,18 +13,20 @@
 
 namespace caperjunction::routing {
 
-/// How much a host is told.
+/// Content of a digest, by the role of its recipient.
 enum class digest_kind : std::uint8_t
 {
-    /// It places by loads: those of this host, and beyond if this speaks.
+    /// The recipient places requests by loads: those of this host, and from an
+    /// aggregator also those of other data centres.
     loads,
-    /// It speaks for another data centre: the sums of this one.
+    /// The recipient aggregates another data centre: the total loads of this
+    /// data centre.
     aggregated_loads,
-    /// That this host is there, and what it knows of the store.
+    /// No loads: only the presence of this host and its store revisions.
     presence,
 };
 
-/// What a host has to tell at one time.
+/// Digests of this host at one time, one for each kind.
 struct digest_set
 {
     peer_digest loads;
@@ -39,177 +41,186 @@
     }
 };
 
-/// What this host knows of the others.
+/// State of the other hosts, from their digests.
 ///
-/// In a small fleet all tell all. In a large one each tells the hosts of its
-/// own data centre, and two of each data centre exchange what concerns the
-/// rest: what a host sends and hears then grows with its data centre and the
-/// number of these, not with the fleet.
+/// In a small fleet all hosts exchange digests with all. In a large fleet each
+/// host sends digests to its own data centre, and two gateways of each data
+/// centre exchange the remaining state. Traffic per host then grows with the
+/// size of its data centre and the number of data centres, not with the fleet.
 ///
-/// All of it only makes decisions better: a host that hears nobody goes on
-/// with what it sees by itself.
+/// Digests only improve decisions. A host that receives none continues with its
+/// own observations.
 ///
 /// Thread safety: none; owned by one task.
 class peer_table
 {
 public:
-    /// With fewer others each host watches the store itself and tells all:
-    /// nothing is gained by sharing, and each is independent of the others.
+    /// With fewer peers each host watches the store itself and sends to all.
+    /// Sharing saves nothing there, and the hosts stay independent of each
+    /// other.
     static constexpr std::size_t min_peers_of_large_fleet = 12;
 
-    /// `own` is never taken for a peer; `seeds` are asked until they answer.
+    /// `own` is never added as a peer. `seeds` are contacted until they reply.
     /// `data_centre` is a hash of its name.
     peer_table(model::endpoint own,
                std::uint64_t data_centre,
                std::vector<model::endpoint> const& seeds);
 
-    /// Seeds may name hosts that start later, or be replaced.
+    /// Adds seeds. They may name hosts that start later or are replaced.
     void seeds(std::vector<model::endpoint> const& seeds);
 
     void record_digest(model::endpoint const& from,
                        peer_digest const& digest,
                        model::time_point now);
 
-    /// Drops what silent hosts have told.
+    /// Discards the state of hosts that have become silent.
     void forget_silent(model::time_point now);
 
     struct recipient
     {
         model::endpoint at;
         digest_kind kind = digest_kind::presence;
-        /// It has not been heard: an answer is wanted.
+        /// No digest was received from it: it is requested to reply.
         bool requests_reply = false;
-        /// It has not been told lately which hosts there are.
+        /// No neighbours were sent to it within the last period.
         bool wants_neighbours = false;
     };
 
-    /// Whom to tell what now, where this host knows `own` of the store;
-    /// `is_news`: loads have changed so much that hosts of other data centres
-    /// would place otherwise.
+    /// Returns the recipients that are due for a digest and marks them as sent.
+    /// `own` are this host's store revisions. `has_load_change`: loads have
+    /// changed enough to affect placement in other data centres.
     std::vector<recipient> recipients(model::time_point now,
                                       store_revisions const& own,
                                       bool has_load_change);
 
-    /// Whom to tell of a change at once: some hosts nearby, from `draw` on,
-    /// and those that relay it to other data centres. The rest hear of it by
-    /// the next digests of any of these, and ask any of them: if all asked
-    /// the first one, the 3,001 entries of a starting fleet of 296 hosts kept
-    /// its link of 10 Mbit/s full for half a minute.
+    /// Returns the recipients of a digest that announces a change: some near
+    /// hosts, starting at `random_value`, and gateways of other data centres.
+    /// The other hosts learn of the change from the next digests of any of
+    /// these and fetch it from any of them. When all fetched it from the first
+    /// one, the 3,001 entries of a starting fleet of 296 hosts filled its link
+    /// of 10 Mbit/s for half a minute.
     std::vector<recipient> recipients_of_change(model::time_point now,
                                                 store_revisions const& own,
                                                 std::uint64_t random_value);
 
-    /// Hosts that concern the host at `to`, at most `most`: those of its data
-    /// centre, and those that speak for others. `draw` is any number: each
-    /// call begins elsewhere in the list, so that all are told in turn.
+    /// Returns up to `max_count` hosts that are relevant to the host at `to`:
+    /// those of its data centre, and gateways. `random_value` is arbitrary: it
+    /// selects where in the list to start, so that all hosts are sent over
+    /// time.
     std::vector<neighbour> neighbours_for(model::endpoint const& to,
                                           std::size_t max_count,
                                           std::uint64_t random_value) const;
 
-    /// Adds up what the others have told; to be called before `load_of`.
+    /// Sums the received loads, crashes and limits. Must be called before
+    /// `load_of`.
     void aggregate();
 
-    /// Whether this host speaks for its data centre.
+    /// Returns whether this host aggregates the loads of its data centre.
     ///
-    /// Loads that are older than a prompt takes to be read mislead, and in a
-    /// large fleet each host can't hear all others that often: one in each
-    /// data centre exchanges sums with those of the others.
+    /// Loads older than the time to read a prompt mislead placement, and in a
+    /// large fleet a host cannot receive digests from all others that often.
+    /// One host of each data centre therefore exchanges aggregated loads with
+    /// those of the others.
     bool is_aggregator() const;
 
-    /// Whether this host exchanges beliefs with other data centres: the one
-    /// that speaks, and one more, so that the loss of one cuts off nobody.
+    /// Returns whether this host exchanges state with other data centres: the
+    /// aggregator and one backup, so that the loss of one host isolates no data
+    /// centre.
     bool is_gateway() const;
 
-    /// What to tell, where `own` has what this host has sent, suspects and
-    /// knows of the store.
+    /// Returns the digests to send. `own` contains the requests, suspects and
+    /// store revisions of this host.
     digest_set make_digests(peer_digest own) const;
 
-    /// What the other data centres' hosts have sent.
+    /// Returns the requests of the hosts in all other data centres.
     std::vector<peer_load> remote_loads() const;
 
-    /// Hosts that tell this one their loads.
+    /// Returns the number of hosts that send their loads to this host.
     std::size_t near_count() const;
 
-    /// Other hosts that are there, heard by this one or by those that speak
-    /// for their data centres.
+    /// Returns the number of other live hosts, known from their own digests or
+    /// from those of gateways and aggregators.
     std::size_t alive() const
     {
         return m_fleet_size - 1;
     }
 
-    /// The largest fleet that this host or any it heard has known, with this
-    /// one. Hosts that can't be reached may still send.
+    /// Returns the size of the largest fleet that this host or a peer has
+    /// known, including this host. Hosts that cannot be reached may still send
+    /// requests.
     std::size_t largest_fleet_seen() const
     {
         return m_largest_fleet_seen;
     }
 
-    /// What the others have sent to an upstream and seen of it.
+    /// Returns the requests of other hosts at an upstream and its performance
+    /// as they see it.
     peer_load load_of(std::uint32_t upstream) const;
 
-    /// Crashes that the others have counted.
+    /// Returns the crashes counted by other hosts.
     std::uint32_t crashes_of(std::uint64_t fingerprint) const;
 
-    /// What the others have been told by an upstream of the requests that it
-    /// takes; nothing if none has.
+    /// Returns the newest limit that another host received from an upstream;
+    /// nothing if there is none.
     std::optional<limit_notice> limit_of(std::uint32_t upstream) const;
 
-    /// This host's place among those that share the limit of an upstream,
-    /// which stands in this host's data centre if `is_here`.
+    /// Returns this host's share of an upstream's limit. `is_local`: the
+    /// upstream is in this host's data centre.
     ///
-    /// In a small fleet all hosts hear each other. In a large one those of the
-    /// upstream's data centre do, and share it among themselves.
-    limit_share limit_share_for(std::uint32_t upstream, bool is_here) const;
+    /// In a small fleet all hosts exchange digests and share the limit. In a
+    /// large fleet the hosts of the upstream's data centre do.
+    limit_share limit_share_for(std::uint32_t upstream, bool is_local) const;
 
     bool has_no_crashes() const
     {
         return m_crashes.empty();
     }
 
-    /// A host that knows more of the store, and is to be asked for it.
+    /// A host with a newer revision of the store to fetch from.
     struct source
     {
         /// Null if there is none.
         model::endpoint const* at = nullptr;
-        /// It stands in this host's data centre.
+        /// It is in this host's data centre.
         bool is_near = false;
-        /// It gives both lanes in one list, as earlier versions do.
+        /// It sends both list kinds in one list, as earlier versions do.
         bool sends_combined_list = false;
     };
 
-    /// One of the hosts that know more than `own` of `which`; `draw` is any
-    /// number.
+    /// Returns one of the hosts with a newer revision of `which` than `own`;
+    /// `random_value` is arbitrary.
     ///
-    /// When all asked the same one, a fleet of 296 hosts that starts asked
-    /// one link for 200 MB: a published configuration was in force after 18 s
-    /// in place of one. Each draws its own, of its own data centre where one
-    /// knows more: what crosses between data centres is paid for.
+    /// When all hosts fetched from the same one, a starting fleet of 296 hosts
+    /// requested 200 MB over one link, and a published configuration was in
+    /// force after 18 s instead of 1 s. Each host therefore selects a source at
+    /// random, from its own data centre if possible: traffic between data
+    /// centres is billed.
     source newer_than(store_revisions const& own,
                       list_kind which,
                       std::uint64_t random_value) const;
 
-    /// The newest of `which` that any host has told to know.
+    /// Returns the newest revision of `which` that any live host has.
     std::uint64_t newest(list_kind which) const;
 
-    /// Whether this host is one of those that watch the store for all.
+    /// Returns whether this host watches the store for other hosts.
     ///
-    /// Each watch of each host is a call that the store limits and that is
-    /// paid for, and each change ends all watches: in a large fleet a few
-    /// hosts watch, some in each data centre, and the others hear of changes
-    /// from them.
+    /// Each watch is a call that the store limits and bills, and each change
+    /// ends all watches. In a large fleet a few hosts of each data centre watch
+    /// the store, and the others receive changes from them.
     bool is_store_watcher() const;
 
 private:
     struct peer
     {
-        /// Before anything was heard: its data centre and whether it relays,
-        /// as another host has said, if `is_placed`.
+        /// Before the first digest of the host: its data centre and whether it
+        /// is a gateway, as reported by another host, if
+        /// `has_known_data_centre`.
         peer_digest digest;
         model::time_point received_at{};
         model::time_point sent_at{};
         model::time_point learned_at{};
         model::time_point neighbours_sent_at{};
-        /// What it was last told to be known here.
+        /// Store revisions in the last digest sent to it.
         store_revisions sent_revisions;
         bool is_live = false;
         bool is_seed = false;
@@ -227,8 +238,8 @@
         }
     };
 
-    peer* learn(model::endpoint const& address);
-    void learn(neighbour const& other, model::time_point now);
+    peer* find_or_add(model::endpoint const& address);
+    void add_neighbour(neighbour const& other, model::time_point now);
     void recount();
     bool is_large() const;
     bool is_in_data_centre(peer const& known) const;
@@ -263,10 +274,10 @@
     std::unordered_map<std::uint32_t, peer_load> m_loads;
     std::unordered_map<std::uint64_t, std::uint32_t> m_crashes;
     limit_notices m_limits;
-    /// The newest time that was given.
+    /// Latest time passed to this table.
     model::time_point m_now{};
 
-    // Counted anew when a host comes, goes or says otherwise.
+    // Updated when a host appears, disappears or changes its counts.
     std::size_t m_fleet_size = 1;
     std::size_t m_local_peers = 0;
     std::size_t m_local_rank = 0;
--- a/src/routing/performance_meter.cpp
+++ b/src/routing/performance_meter.cpp
@@ -7,24 +7,24 @@
 namespace caperjunction::routing {
 namespace {
 
-/// How much one first event says: it may have met a queue of other hosts.
+/// Weight of one first event. It may have waited behind requests of other
+/// hosts.
 constexpr double weight = 0.3;
 constexpr double min_slowdown = 0.25;
 constexpr double max_slowdown = 8.0;
-/// What was seen longer ago tells nothing of an engine that may have
-/// recovered.
+/// Older measurements say nothing about an engine that may have recovered.
 constexpr std::chrono::seconds lifetime{4};
-/// Pauses fade by half in this time.
+/// A recorded gap decays by half in this time.
 constexpr double gap_half_life_seconds = 1.0;
-/// A wait tells of slowness when it is this much longer than was forecast:
-/// small ones are within the error of forecasts.
-constexpr double clearly_overdue = 1.5;
+/// Ratio of wait to forecast from which a wait indicates a slow upstream.
+/// Smaller ratios are within the error of forecasts.
+constexpr double min_overdue_ratio = 1.5;
 
-double ratio(model::time_point::duration took, model::milliseconds forecast)
+double ratio(model::time_point::duration elapsed, model::milliseconds forecast)
 {
     double const expected =
         std::max(1.0, static_cast<double>(forecast.count()));
-    return model::seconds(took).count() * 1'000 / expected;
+    return model::seconds(elapsed).count() * 1'000 / expected;
 }
 
 } // namespace
@@ -42,11 +42,11 @@
     if (found == m_waiting.end()) {
         return;
     }
-    double const seen =
-        std::clamp(ratio(now - found->second.since, found->second.forecast),
+    double const measured =
+        std::clamp(ratio(now - found->second.sent_at, found->second.forecast),
                    min_slowdown,
                    max_slowdown);
-    m_slowdown += (seen - m_slowdown) * weight;
+    m_slowdown += (measured - m_slowdown) * weight;
     m_measured_at = now;
     m_waiting.erase(found);
 }
@@ -68,32 +68,35 @@
 model::milliseconds performance_meter::longest_gap(model::time_point now) const
 {
     double const age = model::seconds(now - m_gap_recorded_at).count();
-    double const left =
+    double const decayed =
         static_cast<double>(m_longest_gap.count())
         * std::exp2(-std::max(age, 0.0) / gap_half_life_seconds);
-    return model::milliseconds(std::lround(left));
+    return model::milliseconds(std::lround(decayed));
 }
 
 double performance_meter::overdue(model::time_point now) const
 {
-    double most = 0.0;
+    double max_ratio = 0.0;
     for (auto const& [number, item] : m_waiting) {
-        most = std::max(most, ratio(now - item.since, item.forecast));
+        max_ratio =
+            std::max(max_ratio, ratio(now - item.sent_at, item.forecast));
     }
-    return most < clearly_overdue ? 0.0 : std::min(most, max_slowdown);
+    return max_ratio < min_overdue_ratio ? 0.0
+                                         : std::min(max_ratio, max_slowdown);
 }
 
 upstream_performance performance_meter::performance(model::time_point now) const
 {
-    upstream_performance made;
-    made.longest_gap = longest_gap(now);
+    upstream_performance result;
+    result.longest_gap = longest_gap(now);
     bool const is_measured = m_measured_at && now - *m_measured_at < lifetime;
-    double const waits = overdue(now);
-    if (is_measured || waits > 0.0) {
-        made.slowdown = std::max(is_measured ? m_slowdown : 0.0, waits);
-        made.observers = 1;
+    double const overdue_ratio = overdue(now);
+    if (is_measured || overdue_ratio > 0.0) {
+        result.slowdown =
+            std::max(is_measured ? m_slowdown : 0.0, overdue_ratio);
+        result.observers = 1;
     }
-    return made;
+    return result;
 }
 
 } // namespace caperjunction::routing
--- a/src/routing/performance_meter.hpp
+++ b/src/routing/performance_meter.hpp
@@ -10,13 +10,13 @@
 
 namespace caperjunction::routing {
 
-/// What this host's own requests tell of an upstream's pace.
+/// Measures the performance of an upstream from this host's own requests.
 ///
-/// An engine may be slower than its like, or turn slow for some seconds, and
-/// says nothing of it. Requests that go on being sent there wait for several
-/// times their forecast, and streams come in jerks. First events tell it, and
-/// before any has come the requests that wait longer than was forecast; so do
-/// the pauses of the streams that run there.
+/// An engine may be slower than similar engines, or slow down for some seconds,
+/// without reporting it. Requests sent there then wait for several times their
+/// forecast, and events of its streams arrive irregularly. The meter uses the
+/// delay of first events, before the first one the requests that wait longer
+/// than forecast, and the gaps between events of running streams.
 ///
 /// Thread safety: none; owned by one task.
 class performance_meter
@@ -24,16 +24,16 @@
 public:
     using ticket = std::uint64_t;
 
-    /// A request was sent whose first event is expected after `forecast`.
+    /// Records a request whose first event is expected after `forecast`.
     ticket begin(model::time_point now, model::milliseconds forecast);
 
-    /// Its first event came `now`.
+    /// Records the first event of a request.
     void end(ticket waiting, model::time_point now);
 
-    /// Its first event will not come.
+    /// Discards a request whose first event will not arrive.
     void drop(ticket waiting);
 
-    /// Two events of a stream came so far apart.
+    /// Records the time between two events of a stream.
     void record_gap(model::milliseconds gap, model::time_point now);
 
     upstream_performance performance(model::time_point now) const;
@@ -41,8 +41,8 @@
 private:
     struct wait
     {
-        model::time_point since{};
-        /// At the usual pace.
+        model::time_point sent_at{};
+        /// For an upstream at nominal performance.
         model::milliseconds forecast{0};
     };
 
--- a/src/routing/pick.hpp
+++ b/src/routing/pick.hpp
@@ -13,7 +13,7 @@
 
 namespace caperjunction::routing {
 
-/// What placing has to know of a request.
+/// Properties of a request that placement depends on.
 struct pick_request
 {
     /// Never null.
@@ -21,38 +21,39 @@
     routing::prompt const* prompt = nullptr;
     std::string_view service;
     std::size_t body_bytes = 0;
-    /// Upstreams that it was sent to, or that could not be reached for it.
+    /// Upstreams that received the request or could not be reached for it.
     std::vector<std::string> const* attempted = nullptr;
-    /// No route of prompts has a lower rank.
+    /// No route with prompts has a lower rank.
     bool is_most_urgent = false;
-    /// Most urgent streams of the service that run, from all hosts.
+    /// Running most urgent streams of the service, from all hosts.
     std::uint32_t urgent_streams = 0;
 };
 
-/// Where a request goes and what decided.
+/// The upstream chosen for a request and the values behind the choice.
 struct pick
 {
-    /// Null: there is no upstream for it.
+    /// Null if no upstream is available.
     upstream_ptr to;
-    /// Time to its first byte, as forecast.
+    /// Forecast time to the first byte.
     model::milliseconds forecast{0};
-    /// The same at the usual pace of upstreams.
+    /// The same for an upstream at nominal performance.
     model::milliseconds nominal_forecast{0};
-    /// The upstream's pace, as far as it is known.
+    /// Measured performance of the upstream.
     upstream_performance performance;
-    /// Shared tokens that are not expected in the upstream's memory.
+    /// Shared tokens that are not expected in the upstream's KV cache.
     std::uint32_t uncached_tokens = 0;
-    /// What the upstream was thought to hold, without this request.
+    /// Estimated load of the upstream, without this request.
     std::uint32_t running = 0;
     std::uint64_t pending_prefill_tokens = 0;
-    /// Engines that urgent streams had to themselves.
+    /// Engines reserved for urgent streams.
     std::size_t reserved_engines = 0;
     double cost = 0.0;
     std::size_t candidates = 0;
-    /// Upstreams that take no more now, by their own word.
+    /// Upstreams that accept no request from this host now because of their
+    /// limit.
     std::size_t limited = 0;
-    /// Where these are all: until one takes a request from this host; nothing
-    /// if they are left to other hosts.
+    /// If all are limited: time until one accepts a request from this host;
+    /// nothing if other hosts share the limits.
     std::optional<model::milliseconds> retry_after;
 };
 
--- a/src/routing/picker.cpp
+++ b/src/routing/picker.cpp
@@ -20,7 +20,7 @@
                   != request.attempted->end();
 }
 
-std::uint64_t rendezvous(std::string const& id, std::uint64_t key)
+std::uint64_t rendezvous_score(std::string const& id, std::uint64_t key)
 {
     return XXH3_64bits_withSeed(id.data(), id.size(), key);
 }
@@ -36,26 +36,27 @@
     return late + std::max(0.0, share - 1.0) * weights.cost_per_missed_target;
 }
 
-/// Notes in `into` that an upstream takes no request from this host now.
-void record_limited(pick& result,
+/// Records in `result` that an upstream accepts no request from this host now.
+void record_limited(pick& out,
                     upstream_state const& limited,
                     model::time_point now)
 {
-    /// Longer waits are no use to a caller: another host may be next.
-    constexpr model::milliseconds longest{2'000};
-    ++result.limited;
+    /// Longer waits are of no use to a caller: another host may be allowed to
+    /// send sooner.
+    constexpr model::milliseconds max_wait{2'000};
+    ++out.limited;
     auto const next = limited.limit.next_send(now);
-    if (next - now > longest) {
+    if (next - now > max_wait) {
         return;
     }
     auto const wait = std::chrono::ceil<model::milliseconds>(next - now);
-    result.retry_after = std::min(wait, result.retry_after.value_or(wait));
+    out.retry_after = std::min(wait, out.retry_after.value_or(wait));
 }
 
 std::vector<upstream_ptr> usable_upstreams(std::vector<upstream_ptr> const& all,
                                            pick_request const& request,
                                            model::time_point now,
-                                           pick& result)
+                                           pick& out)
 {
     std::vector<upstream_ptr> usable;
     std::vector<upstream_ptr> backing_off;
@@ -64,26 +65,27 @@
             continue;
         }
         if (!item->limit.may_send(now)) {
-            record_limited(result, *item, now);
+            record_limited(out, *item, now);
             continue;
         }
         (item->health.is_backing_off(now) ? backing_off : usable)
             .push_back(item);
     }
-    // Where all rest, one of them is a better guess than a refusal.
+    // If all are backing off, attempting one of them is better than a refusal.
     return usable.empty() ? backing_off : usable;
 }
 
-/// Between the two by how far the engines are behind on average.
+/// Interpolates between the idle and the behind cost by the average delay of
+/// the engines.
 double cost_of_uncached_token(picker_settings const& weights,
                               std::vector<upstream_ptr> const& usable,
                               model::milliseconds target)
 {
-    double unread = 0.0;
+    double pending = 0.0;
     for (upstream_ptr const& item : usable) {
-        unread += static_cast<double>(item->pending_prefill_tokens());
+        pending += static_cast<double>(item->pending_prefill_tokens());
     }
-    double const wait_ms = unread / weights.tokens_per_ms
+    double const wait_ms = pending / weights.tokens_per_ms
                            / std::max(1.0, static_cast<double>(usable.size()));
     double const allowed =
         static_cast<double>(target.count()) * weights.share_when_behind;
@@ -93,20 +95,20 @@
            + behind / weights.uncached_tokens_when_behind;
 }
 
-/// How long the most urgent stream waits for a place: less urgent ones give
-/// theirs up.
+/// Returns how long a most urgent stream waits for a slot. Less urgent requests
+/// release theirs.
 double slot_wait_ms(picker_settings const& weights,
                     upstream_state const& candidate)
 {
     double const slots = std::max(1U, candidate.description.slots);
-    double const beyond = candidate.running() + 1.0 - slots;
-    return std::max(0.0, beyond) / slots * weights.stream_duration_ms;
+    double const excess = candidate.running() + 1.0 - slots;
+    return std::max(0.0, excess) / slots * weights.stream_duration_ms;
 }
 
-/// How much of the way to a stream that pauses too long an engine has gone:
-/// 0 up to a share of what is aimed at, 1 at the whole.
+/// Returns how close the longest gap of an engine is to the maximum of the
+/// route: 0 up to a safe share of it, 1 at the maximum.
 double gap_share(pick_request const& request,
-                 model::milliseconds seen,
+                 model::milliseconds longest_gap,
                  picker_settings const& weights)
 {
     double const target =
@@ -114,7 +116,7 @@
     if (target <= 0.0) {
         return 0.0;
     }
-    double const share = static_cast<double>(seen.count()) / target;
+    double const share = static_cast<double>(longest_gap.count()) / target;
     return std::clamp((share - weights.safe_gap_share)
                           / (1.0 - weights.safe_gap_share),
                       0.0,
@@ -135,7 +137,7 @@
 picker::picker(upstream_directory const& directory,
                picker_settings const& weights)
     : m_directory(directory)
-    , m_settings(weights)
+    , m_weights(weights)
 {
 }
 
@@ -172,9 +174,9 @@
         return groups;
     }
     groups.cost_of_uncached_token = cost_of_uncached_token(
-        m_settings, usable, request.route->latency_target);
-    // Engines that rest keep their place: else the others' prompts would move
-    // too.
+        m_weights, usable, request.route->latency_target);
+    // Engines that are backing off keep their rank. Otherwise prompts of other
+    // engines would move too.
     auto const& all = m_directory.reservation_order(request.service);
     reservation_inputs inputs;
     inputs.engines = all.size();
@@ -186,7 +188,7 @@
     for (upstream_ptr const& item : usable) {
         bool const is_reserved = item->reservation_rank < groups.reserved;
         std::uint64_t const score =
-            rendezvous(item->description.id, request.prompt->prefix_id());
+            rendezvous_score(item->description.id, request.prompt->prefix_id());
         if (is_reserved != request.is_most_urgent) {
             continue;
         }
@@ -206,85 +208,82 @@
                        upstream_state const& candidate,
                        engine_partition const& groups,
                        model::time_point now,
-                       pick& result) const
+                       pick& out) const
 {
     picker_settings::network_path const& path =
-        m_settings.network_paths[static_cast<std::size_t>(
+        m_weights.network_paths[static_cast<std::size_t>(
             candidate.network_distance)];
     double const bytes =
-        (static_cast<double>(request.body_bytes) + m_settings.answer_bytes)
-        / m_settings.reference_bytes;
+        (static_cast<double>(request.body_bytes) + m_weights.answer_bytes)
+        / m_weights.reference_bytes;
     double cost =
         path.cost * bytes
-        + m_settings.cost_of_failure * candidate.health.failure_share(now);
-    result.performance = candidate.performance(now);
+        + m_weights.cost_of_failure * candidate.health.failure_share(now);
+    out.performance = candidate.performance(now);
     double nominal_ms = 0.0;
     double wait = 0.0;
     if (request.prompt->tokens == 0) {
         double const slots = std::max(1U, candidate.description.slots);
-        nominal_ms =
-            m_settings.service_ms * (1.0 + candidate.running() / slots);
+        nominal_ms = m_weights.service_ms * (1.0 + candidate.running() / slots);
     } else {
         std::uint32_t const shared = request.prompt->shared_tokens();
-        result.uncached_tokens =
+        out.uncached_tokens =
             &candidate == groups.affinity_engine
                 ? 0
                 : uncached_tokens(*request.prompt, candidate, now);
-        // What one home can't take goes to the same second one from all
-        // hosts: spread over all engines it would be read anew at each, and
-        // an overload would feed itself.
+        // Requests that the affinity engine cannot take go to the same overflow
+        // engine from all hosts. Spread over all engines, their prefix would be
+        // read again at each one, and the overload would amplify itself.
         if (&candidate == groups.overflow_engine) {
-            result.uncached_tokens /= 2;
+            out.uncached_tokens /= 2;
         }
-        double const unread =
+        double const pending =
             static_cast<double>(candidate.pending_prefill_tokens()
-                                + result.uncached_tokens
-                                + request.prompt->tokens)
+                                + out.uncached_tokens + request.prompt->tokens)
             - shared;
-        nominal_ms = m_settings.base_ms + unread / m_settings.tokens_per_ms;
+        nominal_ms = m_weights.base_ms + pending / m_weights.tokens_per_ms;
         wait =
-            request.is_most_urgent ? slot_wait_ms(m_settings, candidate) : 0.0;
-        cost += result.uncached_tokens * groups.cost_of_uncached_token;
-        cost +=
-            m_settings.cost_of_event_gap
-            * gap_share(request, result.performance.longest_gap, m_settings);
+            request.is_most_urgent ? slot_wait_ms(m_weights, candidate) : 0.0;
+        cost += out.uncached_tokens * groups.cost_of_uncached_token;
+        cost += m_weights.cost_of_event_gap
+                * gap_share(request, out.performance.longest_gap, m_weights);
         bool const is_reserved = candidate.reservation_rank < groups.reserved;
         if (!request.is_most_urgent) {
-            cost += std::min(m_settings.max_cost_of_urgent_streams,
-                             m_settings.cost_per_urgent_stream
-                                 * candidate.urgent());
+            cost +=
+                std::min(m_weights.max_cost_of_urgent_streams,
+                         m_weights.cost_per_urgent_stream * candidate.urgent());
         }
         if (is_reserved && !request.is_most_urgent) {
-            cost += m_settings.cost_inside_reserved
-                    + unread * m_settings.cost_of_delay_per_token;
+            cost += m_weights.cost_inside_reserved
+                    + pending * m_weights.cost_of_delay_per_token;
         } else if (!is_reserved && request.is_most_urgent) {
-            cost += m_settings.cost_outside_reserved;
+            cost += m_weights.cost_outside_reserved;
         }
     }
     double const forecast =
-        path.ms + nominal_ms * result.performance.slowdown + wait;
-    result.forecast = model::milliseconds(std::lround(forecast));
-    result.nominal_forecast =
+        path.ms + nominal_ms * out.performance.slowdown + wait;
+    out.forecast = model::milliseconds(std::lround(forecast));
+    out.nominal_forecast =
         model::milliseconds(std::lround(path.ms + nominal_ms + wait));
-    // The last term only settles ties: towards the one that answers first.
-    return cost + lateness(m_settings, forecast, request.route->latency_target)
+    // The last term only breaks ties, in favour of the earliest answer.
+    return cost + lateness(m_weights, forecast, request.route->latency_target)
            + forecast * 1e-4;
 }
 
-// A part is kept only behind all that stand before it.
-std::uint32_t picker::uncached_tokens(prompt const& asked,
+// A part is cached only if all parts before it are.
+std::uint32_t picker::uncached_tokens(prompt const& requested,
                                       upstream_state const& candidate,
                                       model::time_point now) const
 {
-    std::uint32_t cold = asked.shared_tokens();
-    for (std::size_t place = 0; place + 1 < asked.parts.size(); ++place) {
-        prompt_part const& part = asked.parts[place];
-        if (!m_memory.holds(candidate.description.id, part.id, now)) {
+    std::uint32_t uncached = requested.shared_tokens();
+    for (std::size_t index = 0; index + 1 < requested.parts.size(); ++index) {
+        prompt_part const& part = requested.parts[index];
+        if (!m_prefix_cache.contains(candidate.description.id, part.id, now)) {
             break;
         }
-        cold -= part.tokens;
+        uncached -= part.tokens;
     }
-    return cold;
+    return uncached;
 }
 
 void picker::record_sent(pick_request const& request,
@@ -292,8 +291,8 @@
                          model::time_point now)
 {
     auto const& parts = request.prompt->parts;
-    for (std::size_t place = 0; place + 1 < parts.size(); ++place) {
-        m_memory.record(chosen.description.id, parts[place].id, now);
+    for (std::size_t index = 0; index + 1 < parts.size(); ++index) {
+        m_prefix_cache.record(chosen.description.id, parts[index].id, now);
     }
 }
 
--- a/src/routing/picker.hpp
+++ b/src/routing/picker.hpp
@@ -14,10 +14,10 @@
 
 /// Chooses the upstream of a request.
 ///
-/// Every cost is a share of what the request is worth to its caller: being
-/// late, having a shared prompt read once more, and crossing data centres
-/// are weighed in one sum, so that a warm engine far off wins against a cold
-/// one nearby just when that is better.
+/// Each cost is a fraction of the value of the request to its caller. Lateness,
+/// repeated reading of a shared prefix and traffic between data centres add up
+/// to one sum, so that a remote engine with a cached prefix is chosen over a
+/// near one without it only if that is better overall.
 ///
 /// Thread safety: none; owned by one task.
 class picker
@@ -26,10 +26,10 @@
     explicit picker(upstream_directory const& directory,
                     picker_settings const& weights = {});
 
-    /// The best upstream; `to` is null if none is left.
+    /// Returns the best upstream; `to` is null if none is left.
     pick choose(pick_request const& request, model::time_point now) const;
 
-    /// `chosen` was sent the request.
+    /// Records that the request was sent to `chosen`.
     void record_sent(pick_request const& request,
                      upstream_state const& chosen,
                      model::time_point now);
@@ -37,31 +37,31 @@
 private:
     struct engine_partition
     {
-        /// Places in the lane order before this one are those of the most
-        /// urgent streams, the others of the rest.
+        /// Engines with a lower reservation rank serve most urgent streams, the
+        /// others all other requests.
         std::size_t reserved = 0;
-        /// The one where the request's shared prompt is kept, and the one
-        /// that takes what that can't.
+        /// The engine expected to have the shared prefix in its cache, and the
+        /// one that takes requests that the first has no capacity for.
         upstream_state const* affinity_engine = nullptr;
         upstream_state const* overflow_engine = nullptr;
-        /// As a share of what a request is worth.
+        /// As a fraction of the value of a request.
         double cost_of_uncached_token = 0.0;
     };
 
     engine_partition partition(pick_request const& request,
                                std::vector<upstream_ptr> const& usable) const;
-    std::uint32_t uncached_tokens(prompt const& asked,
+    std::uint32_t uncached_tokens(prompt const& requested,
                                   upstream_state const& candidate,
                                   model::time_point now) const;
     double cost_of(pick_request const& request,
                    upstream_state const& candidate,
                    engine_partition const& groups,
                    model::time_point now,
-                   pick& result) const;
+                   pick& out) const;
 
     upstream_directory const& m_directory;
-    picker_settings m_settings;
-    prefix_cache_estimate m_memory;
+    picker_settings m_weights;
+    prefix_cache_estimate m_prefix_cache;
 };
 
 } // namespace caperjunction::routing
--- a/src/routing/prefix_cache_estimate.hpp
+++ b/src/routing/prefix_cache_estimate.hpp
@@ -11,7 +11,8 @@
 
 namespace caperjunction::routing {
 
-/// Where this host has lately sent which shared part of a prompt.
+/// Estimates which shared prompt parts are in which upstream's KV cache, from
+/// the requests that this host has sent recently.
 ///
 /// Thread safety: none; owned by one task.
 class prefix_cache_estimate
@@ -21,32 +22,32 @@
                 std::uint64_t part,
                 model::time_point now)
     {
-        if (m_last_use.size() >= most) {
-            // Parts that are in use are recorded again at once; keeping
-            // order for the rest would cost more than a read.
+        if (m_last_use.size() >= max_entries) {
+            // Parts in use are recorded again by the next request. Keeping the
+            // rest in order of use would cost more than reading a prompt again.
             m_last_use.clear();
         }
         m_last_use[key(upstream, part)] = now;
     }
 
-    bool holds(std::string const& upstream,
-               std::uint64_t part,
-               model::time_point now) const
+    bool contains(std::string const& upstream,
+                  std::uint64_t part,
+                  model::time_point now) const
     {
         auto const found = m_last_use.find(key(upstream, part));
         return found != m_last_use.end() && now - found->second < lifetime;
     }
 
 private:
-    /// Bytes of memory bound it: 16,384 entries take about 1 MB.
-    static constexpr std::size_t most = 16'384;
-    /// Engines drop what was used least recently; a minute without use is
-    /// long against the traffic that fills an engine's memory.
+    /// 16,384 entries take about 1 MB.
+    static constexpr std::size_t max_entries = 16'384;
+    /// Engines evict the least recently used parts. One minute without use is
+    /// long compared with the traffic that fills an engine's cache.
     static constexpr std::chrono::seconds lifetime{60};
 
-    // The part's id is no seed by itself: with ids of three letters, seeds
-    // that differ by one give hashes that collide, and a part would seem to
-    // be kept where it never was.
+    // The part's id is hashed before it is used as a seed. For ids of three
+    // letters, seeds that differ by one give colliding hashes, and a part would
+    // seem to be cached where it never was.
     static std::uint64_t key(std::string const& upstream, std::uint64_t part)
     {
         std::uint64_t const seed = XXH3_64bits(&part, sizeof part);
--- a/src/routing/prompt.hpp
+++ b/src/routing/prompt.hpp
@@ -6,23 +6,25 @@
 
 namespace caperjunction::routing {
 
-/// A stretch of a prompt that other requests may share.
+/// A section of a prompt that other requests may share.
 struct prompt_part
 {
     std::uint64_t id = 0;
     std::uint32_t tokens = 0;
 };
 
-/// What a request says of its prompt; all zero for plain services.
+/// Prompt of a request as declared by its caller; all zero for plain services.
 struct prompt
 {
-    /// In the order of the prompt; the last belongs to the request alone.
+    /// In the order of the prompt. The last part is not shared with other
+    /// requests.
     std::vector<prompt_part> parts;
     std::uint32_t tokens = 0;
-    /// Most tokens that the answer may have.
+    /// Maximum tokens of the answer.
     std::uint32_t max_output = 0;
 
-    /// Tokens that other requests may have left in an engine's memory.
+    /// Returns the tokens that other requests may have left in an engine's
+    /// cache.
     std::uint32_t shared_tokens() const
     {
         std::uint32_t sum = 0;
@@ -32,8 +34,8 @@
         return sum;
     }
 
-    /// Names what is shared: the last part but one, which implies all
-    /// before it; 0 if nothing is.
+    /// Identifies the shared prefix: the id of the last part but one, which
+    /// implies all parts before it; 0 if nothing is shared.
     std::uint64_t prefix_id() const
     {
         return parts.size() < 2 ? 0 : parts[parts.size() - 2].id;
--- a/src/routing/refusal.cpp
+++ b/src/routing/refusal.cpp
@@ -12,14 +12,14 @@
     refusal_reason reason;
     std::string_view name;
     int status;
-    /// 0: coming back doesn't help.
+    /// 0: a retry does not help.
     milliseconds retry_after;
     std::string_view remedy;
 };
 
-/// In the order of the reasons. Times to come back: what is cured by asking
-/// another host is short; what waits for an upstream is as long as a queue
-/// takes to shrink by some requests.
+/// In the order of the reasons. The retry delay is short if another host can
+/// serve the request. If the request waits for an upstream, it is the time in
+/// which a queue shrinks by some requests.
 constexpr std::array<entry, 18> entries{{
     {refusal_reason::no_configuration,
      "no_configuration",
@@ -138,21 +138,21 @@
     constexpr int bad_gateway = 502;
     constexpr int timed_out = 504;
     constexpr milliseconds after_timeout{200};
-    refusal made{reason, entry_of(reason).status, std::nullopt};
-    if (made.status == timed_out && !may_have_run) {
-        // It waited in vain and has not run: the caller may come back.
-        made.status = unavailable;
-        made.retry_after = after_timeout;
-    } else if (made.status == bad_gateway && !may_have_run) {
-        made.status = unavailable;
-        made.retry_after = entry_of(refusal_reason::no_upstream).retry_after;
-    } else if (made.status == unavailable && may_have_run) {
-        // 503 promises that the request has not run.
-        made.status = bad_gateway;
+    refusal result{reason, entry_of(reason).status, std::nullopt};
+    if (result.status == timed_out && !may_have_run) {
+        // The request has waited but not run: the caller may retry.
+        result.status = unavailable;
+        result.retry_after = after_timeout;
+    } else if (result.status == bad_gateway && !may_have_run) {
+        result.status = unavailable;
+        result.retry_after = entry_of(refusal_reason::no_upstream).retry_after;
+    } else if (result.status == unavailable && may_have_run) {
+        // Status 503 guarantees that the request has not run.
+        result.status = bad_gateway;
     } else if (entry_of(reason).retry_after.count() > 0) {
-        made.retry_after = retry_after.value_or(entry_of(reason).retry_after);
+        result.retry_after = retry_after.value_or(entry_of(reason).retry_after);
     }
-    return made;
+    return result;
 }
 
 } // namespace caperjunction::routing
--- a/src/routing/refusal.hpp
+++ b/src/routing/refusal.hpp
@@ -9,7 +9,7 @@
 
 namespace caperjunction::routing {
 
-/// Why a host ends a request by itself.
+/// Why a host ends a request itself.
 enum class refusal_reason : std::uint8_t
 {
     /// No configuration has been read yet.
@@ -17,23 +17,23 @@
     no_route,
     key_missing,
     key_unknown,
-    /// The keys that this host knows were confirmed too long ago.
+    /// The lease of the keys known to this host has expired.
     keys_stale,
-    /// No upstream of the service is known or can be reached.
+    /// No upstream of the service is known or reachable.
     no_upstream,
-    /// All upstreams of the service take fewer requests than come.
+    /// All upstreams of the service are at their request limits.
     limited,
     /// No upstream would answer before the caller's deadline.
     too_late,
-    /// Every upstream that was asked was full.
+    /// Every upstream that was attempted was full.
     upstream_full,
-    /// It was on its way at several upstreams when they broke.
+    /// The request was in flight at several upstreams when they crashed.
     quarantined,
     /// The host is about to stop.
     stopping,
-    /// The host holds as many bytes as it may.
+    /// The host has buffered the maximum number of bytes.
     host_full,
-    /// The upstream broke off, and the request must not be sent again.
+    /// The upstream failed during the request, which must not be sent again.
     upstream_failed,
     /// The caller's deadline or the route's timeout has passed.
     timed_out,
@@ -43,26 +43,26 @@
     caller_too_slow,
 };
 
-/// Stable name, for logs and metric labels.
+/// Returns a stable name for logs and metric labels.
 std::string_view to_string(refusal_reason reason);
 
-/// What the caller is told.
+/// Answer to a caller whose request is refused.
 struct refusal
 {
     refusal_reason reason = refusal_reason::no_configuration;
     int status = 503;
-    /// Set where the request has not run: when to come back.
+    /// Retry delay; set only if the request has not run.
     std::optional<model::milliseconds> retry_after;
 };
 
-/// The answer that fits `reason`. `may_have_run`: an upstream was handed the
-/// request and didn't say that it has not run it. `comes_back`: when to come
-/// back, where that is known better than by the reason alone.
+/// Returns the answer for `reason`. `may_have_run`: an upstream received the
+/// request and did not report that it has not run it. `retry_after` replaces
+/// the default retry delay of the reason.
 refusal refuse(refusal_reason reason,
                bool may_have_run,
                std::optional<model::milliseconds> retry_after = std::nullopt);
 
-/// What to do about it, for the answer's body.
+/// Returns the remedy for the body of the answer.
 std::string_view remedy_of(refusal_reason reason);
 
 } // namespace caperjunction::routing
--- a/src/routing/request_kind.hpp
+++ b/src/routing/request_kind.hpp
@@ -5,14 +5,16 @@
 
 namespace caperjunction::routing {
 
-/// What may be done with a request whose fate is unknown.
+/// Whether a request may be repeated if its outcome is unknown.
 enum class request_kind : std::uint8_t
 {
     /// May run any number of times.
     idempotent,
-    /// May run once at most: never sent again unless it provably has not run.
+    /// May run at most once: never sent again unless it is certain that it has
+    /// not run.
     at_most_once,
-    /// A series of events; at most once, unless its route may be resumed.
+    /// Answered by a series of events. May run at most once unless its route is
+    /// resumable.
     stream,
 };
 
--- a/src/routing/reserved_engines.hpp
+++ b/src/routing/reserved_engines.hpp
@@ -8,50 +8,51 @@
 
 namespace caperjunction::routing {
 
-/// What the number of engines for the most urgent streams depends on.
+/// Inputs of the number of engines reserved for the most urgent streams.
 struct reservation_inputs
 {
     /// Engines of the service.
     std::size_t engines = 0;
-    /// Requests that one of them runs at once, on average.
+    /// Requests that an engine runs at once, on average.
     double slots = 1.0;
-    /// Most urgent streams that run there now, from all hosts.
+    /// Running most urgent streams of the service, from all hosts.
     std::uint32_t urgent_streams = 0;
 };
 
-/// How many engines read no long prompts, so that urgent streams don't pause
-/// beside them.
+/// Returns the number of engines that read no long prompts, so that urgent
+/// streams have no long gaps.
 ///
-/// A fixed share would stand idle while long prompts come in bursts, and
-/// would be overfull while urgent streams do.
+/// A fixed share would be idle during bursts of long prompts and overloaded
+/// during bursts of urgent streams.
 inline std::size_t reserved_engine_count(reservation_inputs const& inputs)
 {
-    // With fewer, long prompts would have too few engines left.
-    constexpr std::size_t least_to_divide = 3;
-    // Chats that come at once find an engine before the lane has grown.
-    constexpr std::size_t engines_of_one_at_rest = 8;
-    // Where there are few engines, the loss of one must leave others to the
-    // chats that ran there.
-    constexpr std::size_t spare_at_rest = 3;
-    constexpr std::size_t engines_of_one_spare = 4;
-    // Long prompts keep some engines, however many chats there are.
-    constexpr double largest_share = 0.6;
-    // Slots are left for what comes until other hosts have heard of it.
-    constexpr double filled = 0.7;
-    if (inputs.engines < least_to_divide) {
+    // With fewer engines, too few would remain for long prompts.
+    constexpr std::size_t min_engines = 3;
+    // Share of engines reserved while few urgent streams run, so that a burst
+    // of chats finds capacity before the reservation has grown.
+    constexpr std::size_t engines_per_idle_reserved = 8;
+    // In a small service, the loss of one reserved engine must leave others for
+    // its chats.
+    constexpr std::size_t max_spare = 3;
+    constexpr std::size_t engines_per_spare = 4;
+    // Some engines remain for long prompts, whatever the number of chats.
+    constexpr double max_share = 0.6;
+    // Leaves slots for streams that other hosts start before this host receives
+    // their digests.
+    constexpr double target_fill = 0.7;
+    if (inputs.engines < min_engines) {
         return 0;
     }
     double const needed =
-        inputs.urgent_streams / std::max(1.0, inputs.slots * filled);
-    auto const spare =
-        std::min(spare_at_rest, inputs.engines / engines_of_one_spare);
-    auto const at_rest = std::max(
-        {std::size_t{1}, inputs.engines / engines_of_one_at_rest, spare});
-    auto const most = static_cast<std::size_t>(
-        std::floor(static_cast<double>(inputs.engines) * largest_share));
+        inputs.urgent_streams / std::max(1.0, inputs.slots * target_fill);
+    auto const spare = std::min(max_spare, inputs.engines / engines_per_spare);
+    auto const reserved_when_idle = std::max(
+        {std::size_t{1}, inputs.engines / engines_per_idle_reserved, spare});
+    auto const max_reserved = static_cast<std::size_t>(
+        std::floor(static_cast<double>(inputs.engines) * max_share));
     return std::clamp(static_cast<std::size_t>(std::ceil(needed)),
-                      at_rest,
-                      std::max(at_rest, most));
+                      reserved_when_idle,
+                      std::max(reserved_when_idle, max_reserved));
 }
 
 } // namespace caperjunction::routing
--- a/src/routing/retry_budget.hpp
+++ b/src/routing/retry_budget.hpp
@@ -8,20 +8,20 @@
 
 namespace caperjunction::routing {
 
-/// This host's part of the fleet's budget of second sends to one service.
+/// This host's part of the fleet's retry budget for one service.
 ///
-/// When upstreams fail together every request wants a second try, and the
-/// retries of the whole fleet add up at the upstreams that are left. Each
-/// host keeps to a share of its own requests, so that the sum over hosts
-/// holds without a message between them, also while they are cut from each
-/// other or start anew.
+/// When upstreams fail together, every request needs a retry, and the retries
+/// of the whole fleet add up at the remaining upstreams. Each host limits
+/// retries to a fraction of its own requests. The sum over all hosts then stays
+/// within the budget without messages between them, also while they are
+/// disconnected from each other or restart.
 ///
 /// Thread safety: none; owned by one task.
 class retry_budget
 {
 public:
-    /// `ratio`: second sends a request. `burst`: what an idle host may spend
-    /// at once.
+    /// `ratio`: retries per request. `burst`: retries available to an idle
+    /// host.
     retry_budget(double ratio, double burst)
         : m_ratio(ratio * safety)
         , m_burst(burst)
@@ -34,7 +34,7 @@
         m_tokens = std::min(m_tokens + m_ratio, m_burst);
     }
 
-    /// Takes one second send; false if it must not be made.
+    /// Consumes one retry. Returns false if the budget is exhausted.
     bool try_acquire()
     {
         if (m_tokens < 1.0) {
@@ -44,22 +44,22 @@
         return true;
     }
 
-    /// Sets what an idle host may spend at once.
+    /// Sets the number of retries available to an idle host.
     void burst(double burst)
     {
         m_burst = burst;
         m_tokens = std::min(m_tokens, m_burst);
     }
 
-    /// Second sends left.
+    /// Returns the number of retries left.
     double available() const
     {
         return m_tokens;
     }
 
 private:
-    /// Requests that arrive in one window may be paid for in the next; the
-    /// slack keeps both within the fleet's ratio.
+    /// Requests of one time window may pay for retries of the next; the
+    /// reduction keeps both windows within the fleet's ratio.
     static constexpr double safety = 0.8;
 
     double m_ratio;
--- a/src/routing/retry_rule.hpp
+++ b/src/routing/retry_rule.hpp
@@ -10,57 +10,58 @@
 
 namespace caperjunction::routing {
 
-/// How one try of a request ended without the wanted answer.
+/// How an attempt of a request ended without the expected answer.
 enum class attempt_end : std::uint8_t
 {
-    /// The upstream could not be reached: it got nothing.
+    /// The upstream could not be reached and received nothing.
     unreachable,
-    /// The upstream says that it has not run it.
+    /// The upstream reports that it has not run the request.
     not_run,
-    /// The connection broke, or what came is no answer.
+    /// The connection broke, or the data was not a valid answer.
     broken,
-    /// The upstream answered that it failed.
+    /// The upstream answered with a failure.
     failed,
-    /// Nothing came for longer than another try would take.
+    /// Nothing was received for longer than another attempt would take.
     silent,
 };
 
-/// Stable name, for logs.
-inline std::string_view to_string(attempt_end how)
+/// Returns a stable name for logs.
+inline std::string_view to_string(attempt_end end)
 {
     constexpr std::array<std::string_view, 5> names{
         "unreachable", "not_run", "broken", "failed", "silent"};
-    return names[static_cast<std::size_t>(how)];
+    return names[static_cast<std::size_t>(end)];
 }
 
-/// Where a request stands.
+/// Progress of a request over its attempts.
 struct attempt_state
 {
-    /// Upstreams that were handed the request.
+    /// Upstreams that received the request.
     std::uint32_t sent = 0;
     /// Upstreams that could not be reached.
     std::uint32_t unreached = 0;
-    /// The caller has part of a stream.
+    /// The caller has received part of a stream.
     bool has_begun = false;
 };
 
-/// Whether a request may be tried at another upstream, apart from budgets.
+/// Returns whether a request may be sent to another upstream, apart from
+/// budgets.
 ///
-/// What must not run twice is sent again only if the upstream said that it
-/// has not run it, or got nothing.
+/// A request that must not run twice is sent again only if the upstream
+/// reported that it has not run it or received nothing.
 inline bool
-may_retry(route const& chosen, attempt_end ended, attempt_state const& state)
+may_retry(route const& chosen, attempt_end end, attempt_state const& state)
 {
-    // Each costs a connect timeout; more would eat up the caller's time.
-    constexpr std::uint32_t most_unreached = 4;
-    if (ended == attempt_end::unreachable) {
-        return state.unreached < most_unreached
+    // Each one costs a connect timeout; more would use up the caller's time.
+    constexpr std::uint32_t max_unreached = 4;
+    if (end == attempt_end::unreachable) {
+        return state.unreached < max_unreached
                && state.sent < chosen.max_attempts;
     }
     if (state.sent >= chosen.max_attempts) {
         return false;
     }
-    return ended == attempt_end::not_run || chosen.repeatable();
+    return end == attempt_end::not_run || chosen.repeatable();
 }
 
 } // namespace caperjunction::routing
--- a/src/routing/route_table.cpp
+++ b/src/routing/route_table.cpp
@@ -9,18 +9,18 @@
 
 using rank_pair = std::pair<std::uint32_t, std::uint32_t>;
 
-/// Without a team, or a rank of it, the route's rank stands in for it.
-rank_pair ranks_of(route const& asked, team const* by)
+/// Without a team, or if the team has no rank, the route's rank replaces it.
+rank_pair ranks_of(route const& matched, team const* holder)
 {
     std::uint32_t const second =
-        by == nullptr ? asked.rank : by->rank.value_or(asked.rank);
-    return {asked.rank, second};
+        holder == nullptr ? matched.rank : holder->rank.value_or(matched.rank);
+    return {matched.rank, second};
 }
 
 } // namespace
 
-route_table::route_table(configuration read)
-    : m_config(std::move(read))
+route_table::route_table(configuration config)
+    : m_config(std::move(config))
 {
     for (route const& item : m_config.routes) {
         m_by_authority[item.authority].push_back(&item);
@@ -39,26 +39,27 @@
     for (service const& item : m_config.services) {
         m_by_service.emplace(item.name, &item);
     }
-    for (route const& asked : m_config.routes) {
-        m_ranks.push_back(ranks_of(asked, nullptr));
-        for (team const& by : m_config.teams) {
-            m_ranks.push_back(ranks_of(asked, &by));
+    for (route const& matched : m_config.routes) {
+        m_ranks.push_back(ranks_of(matched, nullptr));
+        for (team const& holder : m_config.teams) {
+            m_ranks.push_back(ranks_of(matched, &holder));
         }
     }
     std::sort(m_ranks.begin(), m_ranks.end());
     m_ranks.erase(std::unique(m_ranks.begin(), m_ranks.end()), m_ranks.end());
 }
 
-std::uint32_t route_table::urgency(route const& asked, team const* by) const
+std::uint32_t route_table::urgency(route const& matched,
+                                   team const* holder) const
 {
-    auto const place =
-        std::lower_bound(m_ranks.begin(), m_ranks.end(), ranks_of(asked, by));
+    auto const position = std::lower_bound(
+        m_ranks.begin(), m_ranks.end(), ranks_of(matched, holder));
     auto const before =
-        static_cast<std::size_t>(std::distance(m_ranks.begin(), place));
+        static_cast<std::size_t>(std::distance(m_ranks.begin(), position));
     if (m_ranks.size() <= least_urgent + 1) {
         return static_cast<std::uint32_t>(before);
     }
-    // More pairs than places: neighbours share one.
+    // With more rank pairs than urgency levels, adjacent pairs share a level.
     return static_cast<std::uint32_t>(before * least_urgent
                                       / (m_ranks.size() - 1));
 }
@@ -98,12 +99,12 @@
     for (weighted_service const& part : chosen.split) {
         total += part.weight;
     }
-    std::uint64_t place = total == 0 ? 0 : random_value % total;
+    std::uint64_t position = total == 0 ? 0 : random_value % total;
     for (weighted_service const& part : chosen.split) {
-        if (place < part.weight) {
+        if (position < part.weight) {
             return part.service;
         }
-        place -= part.weight;
+        position -= part.weight;
     }
     return chosen.split.front().service;
 }
--- a/src/routing/route_table.hpp
+++ b/src/routing/route_table.hpp
@@ -12,14 +12,14 @@
 
 namespace caperjunction::routing {
 
-/// A configuration with its look-ups. Requests on their way hold the table
-/// that they began with, so that an old and a new one serve side by side.
+/// A configuration with its indexes. Requests in progress keep the table they
+/// started with, so that an old and a new table are used at the same time.
 ///
 /// Thread safety: immutable, any thread.
 class route_table
 {
 public:
-    explicit route_table(configuration read);
+    explicit route_table(configuration config);
     route_table(route_table const&) = delete;
     route_table& operator=(route_table const&) = delete;
 
@@ -28,37 +28,38 @@
         return m_config;
     }
 
-    /// The route of that authority with the longest prefix that begins
-    /// `path`; null if there is none. Valid as long as the table.
+    /// Returns the route of `authority` with the longest prefix of `path`; null
+    /// if there is none. Valid as long as the table.
     route const* match(std::string_view authority, std::string_view path) const;
 
-    /// Who holds `key`; null if nobody does.
+    /// Returns the team that holds `key`; null if there is none.
     team const* find_team(std::string_view key) const;
 
-    /// Null if no such service is known.
+    /// Returns null if the service is unknown.
     service const* find_service(std::string_view name) const;
 
-    /// How urgent a request is among all that this configuration allows, 0
-    /// first, at most `least_urgent`: the route's rank decides, and among
-    /// equal ones the team's. Engines order by it, and by it alone: with the
-    /// team's rank first, a short question waits behind and is preempted for
-    /// the long prompts of its own team or of a team that ranks higher.
-    std::uint32_t urgency(route const& asked, team const* by) const;
+    /// Returns the urgency of a request relative to all that this configuration
+    /// allows: 0 is the most urgent, `least_urgent` the maximum. The route's
+    /// rank comes first, and the team's rank breaks ties. Engines order
+    /// requests by urgency only. With the team's rank first, a short question
+    /// would wait behind, and be preempted for, long prompts of its own team or
+    /// of a higher-ranked team.
+    std::uint32_t urgency(route const& matched, team const* holder) const;
 
     static constexpr std::uint32_t least_urgent = 9;
 
-    /// The service that takes a request of `chosen`; `draw` spreads requests
-    /// by weight and must be the same for the same request.
+    /// Returns the service for a request of `chosen`. `random_value`
+    /// distributes requests by weight and must not change for the same request.
     static std::string const& pick_service(route const& chosen,
                                            std::uint64_t random_value);
 
 private:
     configuration m_config;
-    /// Routes of an authority, the longest prefix first.
+    /// Routes of an authority, longest prefix first.
     std::unordered_map<std::string, std::vector<route const*>> m_by_authority;
     std::unordered_map<std::string_view, team const*> m_by_key;
     std::unordered_map<std::string_view, service const*> m_by_service;
-    /// All pairs of ranks that there are, the most urgent first.
+    /// All pairs of route and team ranks, most urgent first.
     std::vector<std::pair<std::uint32_t, std::uint32_t>> m_ranks;
 };
 
--- a/src/routing/service.hpp
+++ b/src/routing/service.hpp
@@ -6,15 +6,16 @@
 
 namespace caperjunction::routing {
 
-/// A service as the configuration names it.
+/// A service of the configuration.
 struct service
 {
     std::string name;
-    /// Connections that one upstream takes from all hosts together.
+    /// Maximum connections of one upstream from all hosts together.
     std::uint32_t max_connections = 64;
-    /// Requests that one engine runs at once; 0: not a model engine.
+    /// Requests that one engine runs at once; 0 if the service has no model
+    /// engine.
     std::uint32_t slots = 0;
-    /// Tokens that one engine keeps in memory.
+    /// Tokens that the KV cache of one engine holds.
     std::uint64_t kv_cache_tokens = 0;
 };
 
--- a/src/routing/store_revisions.hpp
+++ b/src/routing/store_revisions.hpp
@@ -6,22 +6,22 @@
 
 namespace caperjunction::routing {
 
-/// What hosts give each other separately: a leave of some hundred bytes must
-/// not wait for a configuration of some hundred kilobytes.
+/// List kinds that hosts send to each other separately. A removal of some
+/// hundred bytes must not wait for a configuration of some hundred kilobytes.
 enum class list_kind : std::uint8_t
 {
     upstreams,
     configuration,
 };
 
-/// How far a host knows the platform's store.
+/// Revisions of the platform's store that a host has applied.
 struct store_revisions
 {
-    /// All changes of upstreams' entries up to it are applied.
+    /// All changes of upstream entries up to this revision are applied.
     std::uint64_t upstreams = 0;
-    /// Of the newest configuration that is known; 0: there is none.
+    /// Revision of the newest known configuration; 0 if there is none.
     std::uint64_t configuration = 0;
-    /// Up to it the store had no newer configuration.
+    /// The store had no newer configuration up to this revision.
     std::uint64_t checked = 0;
 
     std::uint64_t of(list_kind which) const
@@ -29,22 +29,23 @@
         return which == list_kind::upstreams ? upstreams : configuration;
     }
 
-    /// All changes of any kind up to it are applied.
+    /// Returns the revision up to which all changes of any kind are applied.
     std::uint64_t all() const
     {
         return std::min(upstreams, checked);
     }
 
-    /// Whether the configuration known here is at least as new as what a host
-    /// that knows `told` has: what that host has confirmed holds here too. One
-    /// of an earlier version doesn't name its configuration.
+    /// Returns whether the configuration of this host is at least as new as
+    /// that of a host with revisions `other`. If so, what that host has
+    /// confirmed is valid here too. A host of an earlier version does not
+    /// report the revision of its configuration.
     bool covers_configuration(store_revisions const& other) const
     {
         return other.configuration != 0 && configuration >= other.configuration;
     }
 
-    /// Whether both hold the same changes; a confirmation that there are no
-    /// others is no reason to tell anybody at once.
+    /// Returns whether both contain the same changes. A confirmation without
+    /// changes need not be sent to other hosts at once.
     bool has_same_changes_as(store_revisions const& other) const
     {
         return upstreams == other.upstreams
--- a/src/routing/team.hpp
+++ b/src/routing/team.hpp
@@ -13,7 +13,8 @@
 {
     std::string name;
     std::vector<std::string> keys;
-    /// Goes before the rank of the route, if set.
+    /// Orders requests of equally ranked routes; if unset, the route's rank is
+    /// used.
     std::optional<std::uint32_t> rank;
 };
 
--- a/src/routing/upstream.hpp
+++ b/src/routing/upstream.hpp
@@ -8,7 +8,7 @@
 
 namespace caperjunction::routing {
 
-/// An engine or a plain server as it describes itself.
+/// An engine or a plain server, as described by its store entry.
 struct upstream
 {
     std::string id;
@@ -16,9 +16,9 @@
     model::endpoint at;
     std::string data_centre;
     std::uint32_t slots = 0;
-    /// Leaving: gets no new request.
+    /// It is shutting down and gets no new requests.
     bool draining = false;
-    /// Tells one start from another under the same id; 0 if not said.
+    /// Distinguishes restarts under the same id; 0 if not reported.
     std::uint64_t started = 0;
 };
 
--- a/src/routing/upstream_directory.cpp
+++ b/src/routing/upstream_directory.cpp
@@ -9,8 +9,8 @@
 namespace caperjunction::routing {
 namespace {
 
-/// Upstreams that live have written again within two seconds of the store's
-/// return; the published contract of the store says so.
+/// Time until running upstreams have renewed their entries after the store's
+/// recovery, according to the published contract of the store.
 constexpr model::milliseconds settle_time{2'000};
 
 } // namespace
@@ -70,13 +70,13 @@
 void upstream_directory::retain_only(std::vector<std::string> const& ids,
                                      model::time_point now)
 {
-    std::vector<std::string> lacking;
+    std::vector<std::string> missing;
     for (auto const& [id, state] : m_by_id) {
         if (std::find(ids.begin(), ids.end(), id) == ids.end()) {
-            lacking.push_back(id);
+            missing.push_back(id);
         }
     }
-    for (std::string const& id : lacking) {
+    for (std::string const& id : missing) {
         remove(id, now);
     }
 }
--- a/src/routing/upstream_directory.hpp
+++ b/src/routing/upstream_directory.hpp
@@ -12,61 +12,66 @@
 
 namespace caperjunction::routing {
 
-/// The upstreams that this host believes in.
+/// The upstreams known to this host.
 ///
-/// Entries lapse while the store is away although their upstreams live: a
-/// host that dropped them at once would refuse every request for seconds
-/// after each outage. So what is missing is dropped at once only while the
-/// store is settled, and else when it is still missing `settle_time` after
-/// the store's return.
+/// Store entries expire during an outage of the store although their upstreams
+/// are running. A host that removed them at once would refuse every request for
+/// seconds after each outage. A missing entry is therefore dropped at once only
+/// in the steady state. After an outage it is dropped if it is still missing
+/// `settle_time` after the store's recovery.
 ///
 /// Thread safety: none; owned by one task.
 class upstream_directory
 {
 public:
-    /// Tells how far a data centre is from this host.
+    /// Returns the distance of a data centre from this host.
     using distance_of = std::function<distance(std::string const&)>;
 
     explicit upstream_directory(distance_of measure);
 
-    /// The store answers again after a time in which it didn't.
+    /// Records that the store responds again after an outage.
     void store_regained(model::time_point now);
 
-    /// An entry was written.
+    /// Adds or updates an entry.
     void put(upstream const& described);
 
-    /// The entry is there and can't be read: it names nothing to use.
+    /// Records an entry that exists but cannot be decoded. It is treated as
+    /// removed.
     void put_unreadable(std::string const& id, model::time_point now);
 
-    /// An entry was removed.
+    /// Records the removal of an entry.
     void remove(std::string const& id, model::time_point now);
 
-    /// The store was read anew: what is not in `ids` is missing.
+    /// Records a complete read of the store: upstreams that are not in `ids`
+    /// are missing.
     void retain_only(std::vector<std::string> const& ids,
                      model::time_point now);
 
-    /// Drops what is still missing; to be called when `next_drop` is due.
+    /// Drops upstreams that are still missing. Must be called when `next_drop`
+    /// is due.
     void drop_missing(model::time_point now);
 
-    /// When something missing is to be dropped; the far future if nothing is.
+    /// Returns when the next missing upstream is due; `time_point::max()` if
+    /// none is missing.
     model::time_point next_drop() const;
 
-    /// All of a service that may get requests, by id.
+    /// Returns the upstreams of a service that may get requests, ordered by id.
     std::vector<upstream_ptr> const& of_service(std::string_view service) const;
 
-    /// All of a service in the order in which they are taken for urgent
-    /// streams; `lane_place` of each is set.
+    /// Returns the upstreams of a service in the order in which they are
+    /// reserved for urgent streams, and sets the `reservation_rank` of each.
     ///
-    /// The first of each data centre come before the second, so that some are
-    /// left when a region is cut off, and in each a hash of the id decides:
-    /// hosts that know the same upstreams agree without a message.
+    /// The first upstream of each data centre comes before the second of any,
+    /// so that some remain when a region is cut off. Within a data centre they
+    /// are ordered by a hash of the id: hosts that know the same upstreams
+    /// agree without messages.
     std::vector<upstream_ptr> const&
     reservation_order(std::string_view service) const;
 
-    /// Null if there is none.
+    /// Returns null if the id is unknown.
     upstream_ptr find(std::string const& id) const;
 
-    /// Calls `visit` with each upstream.
+    /// Calls `visit` for each upstream.
     template <typename Visitor>
     void each(Visitor visit) const
     {
@@ -87,7 +92,7 @@
     distance_of m_measure;
     std::map<std::string, upstream_ptr> m_by_id;
     std::map<std::string, std::vector<upstream_ptr>, std::less<>> m_by_service;
-    /// Made when it is asked for; empty after a change.
+    /// Built on demand; cleared when the service changes.
     mutable std::map<std::string, std::vector<upstream_ptr>, std::less<>>
         m_reservation_orders;
     std::map<std::string, model::time_point> m_missing;
--- a/src/routing/upstream_health.hpp
+++ b/src/routing/upstream_health.hpp
@@ -9,19 +9,19 @@
 
 namespace caperjunction::routing {
 
-/// What an upstream's own answers say of it.
+/// Health of an upstream, from the outcome of this host's requests.
 ///
-/// A health check may pass while requests fail, and a dark upstream takes
-/// every request that is sent to it until its caller gives up. Callers notice
-/// as timeouts that come back with each try. So failures of requests keep new
-/// ones away, for longer each time, and a share of failures is a price that
-/// placing weighs against distance and load.
+/// A health check may pass while requests fail, and an unresponsive upstream
+/// holds each request until its caller times out. The symptom is a timeout on
+/// every attempt. Failures therefore cause a back-off that grows each time, and
+/// the failure rate is a cost that placement weighs against distance and load.
 ///
 /// Thread safety: none; owned by one task.
 class upstream_health
 {
 public:
-    /// The upstream could not be reached, or a connection to it broke.
+    /// Records that the upstream could not be reached or a connection to it
+    /// broke.
     void record_unreachable(model::time_point now)
     {
         record_failure(now);
@@ -30,7 +30,7 @@
         m_backed_off_until = now + std::min(wait, max_back_off);
     }
 
-    /// It answered, and the answer was a failure of its own.
+    /// Records an answer that reports a failure of the upstream.
     void record_failure(model::time_point now)
     {
         m_failures = failure_share(now) * (1.0 - weight) + weight;
@@ -50,7 +50,8 @@
         return now < m_backed_off_until;
     }
 
-    /// Share of recent requests that failed, 0 to 1; old ones fade.
+    /// Returns the share of recent requests that failed, 0..1, with exponential
+    /// decay.
     double failure_share(model::time_point now) const
     {
         double const age = model::seconds(now - m_updated).count();
@@ -58,11 +59,12 @@
     }
 
 private:
-    /// One request in six: three failures in a row outweigh any distance.
+    /// About one request in six: three consecutive failures outweigh any
+    /// distance.
     static constexpr double weight = 0.15;
-    /// An upstream that nobody asks must be tried again some time.
+    /// An upstream that gets no requests must be attempted again eventually.
     static constexpr double half_life_seconds = 3.0;
-    /// A restart of an engine takes seconds; the first rest only spares the
+    /// An engine takes seconds to restart; the first back-off only protects the
     /// requests that are about to be sent.
     static constexpr model::milliseconds first_back_off{400};
     static constexpr model::milliseconds max_back_off{3'000};
--- a/src/routing/upstream_limit.cpp
+++ b/src/routing/upstream_limit.cpp
@@ -5,24 +5,24 @@
 namespace caperjunction::routing {
 namespace {
 
-/// Part of a limit that is used: two hosts may for a moment both think that a
-/// place is theirs.
+/// Share of a limit that is used. Two hosts may briefly both consider
+/// themselves one of its sharers.
 constexpr double used_share = 0.8;
-/// Hosts that share a limit, each with one request at once: so many, and more
-/// for each request a second.
+/// Number of hosts that share a limit, each with one request at a time: a
+/// minimum, plus hosts per request per second.
 constexpr double min_sharers = 4.0;
 constexpr double sharers_per_request = 2.0;
-/// A limit of which no host has heard for so long is tried by hosts that don't
-/// share it: those that do may all be gone.
+/// After this time without a notice, hosts that do not share the limit send
+/// probes: all sharers may have stopped.
 constexpr model::milliseconds stale_after{15'000};
-/// Requests a second, of all hosts, with which it is tried then.
+/// Rate of these probes, over all hosts.
 constexpr double probes_per_second = 0.25;
 
 model::milliseconds interval(double seconds)
 {
-    constexpr double longest_seconds = 3'600.0;
+    constexpr double max_seconds = 3'600.0;
     return std::chrono::duration_cast<model::milliseconds>(
-        model::seconds(std::min(seconds, longest_seconds)));
+        model::seconds(std::min(seconds, max_seconds)));
 }
 
 } // namespace
@@ -35,7 +35,7 @@
     bool const was_limited = is_limited();
     m_notice = notice;
     if (is_limited() && !was_limited) {
-        m_began = notice.received_at;
+        m_limited_since = notice.received_at;
     }
     return is_limited() != was_limited;
 }
@@ -52,14 +52,14 @@
 
 std::size_t upstream_limit::sharers() const
 {
-    double const most =
+    double const max_sharers =
         min_sharers + sharers_per_request * *m_notice.requests_per_second;
     double const hosts = std::max(1.0, static_cast<double>(m_share.hosts));
-    return static_cast<std::size_t>(std::min(hosts, most));
+    return static_cast<std::size_t>(std::min(hosts, max_sharers));
 }
 
-// Hosts begin one after the other, over one interval from `from` on; a host
-// that has sent waits for an interval of its own.
+// Hosts start one after the other within one interval after `from`. A host that
+// has sent a request waits for one interval of its own.
 model::time_point upstream_limit::next_slot(model::time_point from,
                                             model::milliseconds each) const
 {
@@ -75,7 +75,8 @@
     if (!is_sharer || rate <= 0.0) {
         return model::time_point::max();
     }
-    return next_slot(m_began, interval(static_cast<double>(sharers()) / rate));
+    return next_slot(m_limited_since,
+                     interval(static_cast<double>(sharers()) / rate));
 }
 
 model::time_point upstream_limit::next_for_stale() const
--- a/src/routing/upstream_limit.hpp
+++ b/src/routing/upstream_limit.hpp
@@ -8,47 +8,49 @@
 
 namespace caperjunction::routing {
 
-/// What an upstream's answer has said of the requests that it takes.
+/// Request limit reported in an answer of an upstream.
 struct limit_notice
 {
-    /// Requests a second, from all hosts together; nothing: as many as come.
+    /// For all hosts together; no value: no limit.
     std::optional<double> requests_per_second;
-    /// When a host got that answer; the newest holds.
+    /// When a host received the answer. The newest notice applies.
     model::time_point received_at{};
 };
 
-/// A host's place among those that share an upstream's limit.
+/// Position of a host among the hosts that share an upstream's limit.
 struct limit_share
 {
-    /// From 0. All of `hosts` order each other alike; the first share it.
+    /// From 0. All `hosts` agree on the order; the first ones share the limit.
     std::size_t rank = 0;
-    /// Hosts that hear each other, with this one.
+    /// Hosts that exchange digests, including this one.
     std::size_t hosts = 1;
-    /// False: the limit is shared by others, which this host doesn't hear.
+    /// False if the limit is shared by hosts that this host receives no digests
+    /// from.
     bool participates = true;
-    /// All hosts of the fleet.
+    /// Hosts in the fleet.
     std::size_t fleet_size = 1;
-    /// 0 to 1, drawn once for the host and the upstream: who begins first.
+    /// 0..1, fixed for a host and an upstream: the order in which hosts start.
     double phase = 0.0;
 };
 
-/// This host's part of the requests that an upstream in need takes.
+/// Limits this host's part of the requests to an overloaded upstream.
 ///
-/// Made for an upstream that says how many it takes from all hosts together.
-/// If each host took the limit for its own, a fleet would send as many times
-/// as much as it has hosts; with equal parts and one request at once for each,
-/// a large fleet still sends too many in the first moment. So a few hosts share
-/// the limit, and the others leave the upstream alone.
+/// The upstream reports how many requests it accepts from all hosts together.
+/// If each host used the whole limit, the upstream would receive as many times
+/// the limit as there are hosts. With equal parts and at least one request at
+/// once for each host, a large fleet still sends too many in the first moment.
+/// A few hosts therefore share the limit, and the others send nothing to the
+/// upstream.
 ///
 /// Thread safety: none; owned by one task.
 class upstream_limit
 {
 public:
-    /// Takes a notice of this host's or another's answer; an older one than is
-    /// known changes nothing. True if it begins or ends a limit.
+    /// Applies a notice that this host or another one received. A notice older
+    /// than the current one is ignored. Returns true if a limit begins or ends.
     bool update(limit_notice const& notice);
 
-    /// The notice that holds; nothing was ever said before the first.
+    /// Returns the current notice; default-constructed before the first one.
     limit_notice const& notice() const
     {
         return m_notice;
@@ -64,21 +66,21 @@
         return m_notice.requests_per_second.has_value();
     }
 
-    /// Sets who shares the limit.
+    /// Sets this host's position among the sharers.
     void set_share(limit_share const& share);
 
-    /// Whether one more request may be sent.
+    /// Returns whether one more request may be sent.
     bool may_send(model::time_point now) const
     {
         return !is_limited() || now >= next_send(now);
     }
 
-    /// When one more request may be sent; the far future if others share the
-    /// limit.
+    /// Returns when one more request may be sent; `time_point::max()` if other
+    /// hosts share the limit.
     /// \pre is_limited().
     model::time_point next_send(model::time_point now) const;
 
-    /// A request was sent.
+    /// Records that a request was sent.
     void record_send(model::time_point now);
 
 private:
@@ -92,7 +94,7 @@
     limit_notice m_notice;
     limit_share m_share;
     model::time_point m_sent_at{};
-    model::time_point m_began{};
+    model::time_point m_limited_since{};
 };
 
 } // namespace caperjunction::routing
--- a/src/routing/upstream_performance.hpp
+++ b/src/routing/upstream_performance.hpp
@@ -8,18 +8,18 @@
 
 namespace caperjunction::routing {
 
-/// How fast an upstream works, as one or more hosts have seen it lately.
+/// Recent performance of an upstream as measured by one or more hosts.
 struct upstream_performance
 {
-    /// Time to the first event against what was forecast; 1: as forecast.
+    /// Ratio of the measured to the forecast time to the first event.
     double slowdown = 1.0;
-    /// Hosts whose requests tell so; 0: nothing is known.
+    /// Hosts with a measurement; 0 if there is none.
     std::uint32_t observers = 0;
-    /// Longest pause between two events of a stream.
+    /// Longest time between two events of a stream.
     model::milliseconds longest_gap{0};
 
-    /// Takes in what others have seen: the mean of the slowness, since each
-    /// host sees but a few requests, and the longest pause.
+    /// Merges the measurements of other hosts: the mean of the slowdown, since
+    /// each host sees only a few requests, and the maximum of the gaps.
     void merge(upstream_performance const& other)
     {
         std::uint32_t const all = observers + other.observers;
--- a/src/routing/upstream_state.hpp
+++ b/src/routing/upstream_state.hpp
@@ -14,14 +14,14 @@
 
 namespace caperjunction::routing {
 
-/// Work at one upstream that a host knows of.
+/// Requests at one upstream.
 struct upstream_load
 {
     /// Requests that have not ended.
     std::uint32_t running = 0;
-    /// Prompt tokens of requests whose first event has not come.
+    /// Prompt tokens of requests without a first event.
     std::uint64_t pending_prefill_tokens = 0;
-    /// Those of the running requests that are most urgent streams.
+    /// Most urgent streams among the running requests.
     std::uint32_t urgent = 0;
 
     void add(upstream_load const& more)
@@ -32,31 +32,32 @@
     }
 };
 
-/// An upstream with what this host knows beyond its own description.
-/// Owned by the directory; requests on their way keep it alive.
+/// An upstream's description and this host's state about it. Owned by the
+/// directory; requests in progress keep it alive.
 struct upstream_state
 {
     upstream description;
     distance network_distance = distance::same_data_centre;
     upstream_health health;
-    /// What this host has sent.
+    /// Requests of this host.
     upstream_load own;
-    /// What the other hosts say that they have sent.
+    /// Requests of other hosts, from their digests.
     upstream_load others;
-    /// How fast it works, as this host's requests tell.
+    /// Performance measured by this host's requests.
     performance_meter own_performance;
-    /// The same from the others.
+    /// Performance measured by other hosts.
     upstream_performance others_performance;
-    /// Requests that it takes from all hosts, if it is in need.
+    /// Request limit of an overloaded upstream.
     upstream_limit limit;
-    /// What its last answer to this host said of that; never said at first.
+    /// Notice in its last answer to this host; default-constructed before the
+    /// first.
     limit_notice own_limit;
-    /// When anything last came from it to this host.
+    /// When this host last received data from it.
     model::time_point received_at{};
-    /// Its place among those of its service that urgent streams get; set by
-    /// `upstream_directory::lane_order`.
+    /// Position among the engines of its service in the order of reservation;
+    /// set by `upstream_directory::reservation_order`.
     std::size_t reservation_rank = 0;
-    /// No longer published, or leaving.
+    /// No longer published, or draining.
     bool is_retired = false;
 
     std::uint32_t running() const
--- a/tests/platform/decode_test.cpp
+++ b/tests/platform/decode_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("a configuration's fields are decoded into ours")
+TEST_CASE("a configuration's fields are decoded")
 {
     auto const read = platform::decode_configuration(
         R"({"version":7,"routes":[{"name":"r","host":"h","prefix":"/p/",)"
@@ -55,7 +55,7 @@
     CHECK(!read.teams[1].rank);
 }
 
-TEST_CASE("a configuration that can't be read is refused with a remedy")
+TEST_CASE("an invalid configuration is refused with a remedy")
 {
     for (char const* const bad : {"", "[]", "{}", R"({"version":"x"})"}) {
         CAPTURE(bad);
@@ -80,9 +80,9 @@
     CHECK(!read->draining);
 }
 
-// Another writer leaves entries of its own among those of the engines. One
-// that is taken for an engine gets requests that nobody answers.
-TEST_CASE("entries that are no upstream's name none")
+// Other writers store entries of their own under the upstreams' prefix. A host
+// that decodes one as an upstream sends requests to it that are never answered.
+TEST_CASE("entries of other writers decode to no upstream")
 {
     for (
         char const* const bad :
--- a/tests/routing/admission_test.cpp
+++ b/tests/routing/admission_test.cpp
@@ -17,49 +17,50 @@
 
 namespace {
 
-routing::configuration keyed()
+routing::configuration config_with_keys()
 {
-    routing::configuration lists;
-    lists.routes = {make_route("/a/", request_kind::at_most_once),
-                    make_route("/open/", request_kind::at_most_once)};
-    lists.routes[1].is_public = true;
-    lists.teams = {{"desk", {"secret"}, {}}};
-    return lists;
+    routing::configuration config;
+    config.routes = {make_route("/a/", request_kind::at_most_once),
+                     make_route("/open/", request_kind::at_most_once)};
+    config.routes[1].is_public = true;
+    config.teams = {{"desk", {"secret"}, {}}};
+    return config;
 }
 
 } // namespace
 
-TEST_CASE("a host without a configuration refuses and says when to come back")
+TEST_CASE("a host without a configuration refuses with a retry delay")
 {
-    routing::key_lease const keys(5'000ms);
-    auto const made = routing::admit(nullptr, keys, {"desk.example", "/a/x"});
-    REQUIRE(made.refused);
-    auto const refused = routing::refuse(*made.refused, false);
+    routing::key_lease const lease(5'000ms);
+    auto const result =
+        routing::admit(nullptr, lease, {"desk.example", "/a/x"});
+    REQUIRE(result.refused);
+    auto const refused = routing::refuse(*result.refused, false);
     CHECK(refused.status == 503);
     CHECK(refused.retry_after.has_value());
 }
 
-// A host loses its way to the store, and a key is taken away meanwhile. Its
-// holder's requests would be served for as long as the cut lasts, and nobody
-// would notice.
-TEST_CASE("keys that were confirmed too long ago are not acted on")
+// A host loses its connection to the store and a key is revoked. Without a
+// lease its holder's requests are accepted for the whole outage, without any
+// symptom.
+TEST_CASE("keys with an expired lease are refused")
 {
-    routing::route_table const table(keyed());
-    routing::key_lease keys(5'000ms);
-    keys.renew(start);
+    routing::route_table const table(config_with_keys());
+    routing::key_lease lease(5'000ms);
+    lease.renew(start);
     routing::admission_request request{
         "desk.example", "/a/x", "secret", start + 4'800ms};
-    CHECK(routing::admit(&table, keys, request).team != nullptr);
+    CHECK(routing::admit(&table, lease, request).team != nullptr);
     request.now = start + 5'000ms;
-    CHECK(routing::admit(&table, keys, request).refused
+    CHECK(routing::admit(&table, lease, request).refused
           == refusal_reason::keys_stale);
     request.path = "/open/x";
-    CHECK(!routing::admit(&table, keys, request).refused);
+    CHECK(!routing::admit(&table, lease, request).refused);
 }
 
-// A key was taken away by a configuration that this host lacks. Confirmed by a
-// host that has it, the key would go on working here.
-TEST_CASE("keys are confirmed only by hosts whose configuration is here too")
+// A newer configuration, which this host lacks, revokes a key. If a host that
+// has it could renew the lease here, the key would remain usable.
+TEST_CASE("keys are confirmed only by hosts whose configuration is known here")
 {
     routing::store_revisions const own{20, 12, 15};
     CHECK(own.covers_configuration({30, 12, 30}));
@@ -68,21 +69,21 @@
     CHECK(!own.covers_configuration({20, 0, 0}));
 }
 
-TEST_CASE("a confirmation that comes late never makes a belief older")
+TEST_CASE("a late confirmation never shortens the lease")
 {
-    routing::key_lease keys(5'000ms);
-    keys.renew(start + 3'000ms);
-    keys.renew(start);
-    CHECK(keys.is_valid(start + 7'000ms));
+    routing::key_lease lease(5'000ms);
+    lease.renew(start + 3'000ms);
+    lease.renew(start);
+    CHECK(lease.is_valid(start + 7'000ms));
 }
 
-TEST_CASE("keys are looked up, and their absence is told apart")
+TEST_CASE("missing and unknown keys have different refusal reasons")
 {
-    routing::route_table const table(keyed());
-    routing::key_lease keys(5'000ms);
-    keys.renew(start);
+    routing::route_table const table(config_with_keys());
+    routing::key_lease lease(5'000ms);
+    lease.renew(start);
     auto const outcome = [&](char const* path, char const* key) {
-        return routing::admit(&table, keys, {"desk.example", path, key, start})
+        return routing::admit(&table, lease, {"desk.example", path, key, start})
             .refused;
     };
     CHECK(outcome("/a/x", "") == refusal_reason::key_missing);
@@ -91,9 +92,9 @@
     CHECK(!outcome("/a/x", "secret"));
 }
 
-// A booking's connection breaks after the booking was sent. Told "not run",
-// the caller would book again.
-TEST_CASE("what may have run is never answered with a promise")
+// The connection of a booking breaks after the booking was sent. If the answer
+// said that it has not run, the caller would book again.
+TEST_CASE("a request that may have run is never reported as not run")
 {
     for (auto const reason : {refusal_reason::no_upstream,
                               refusal_reason::too_late,
@@ -114,7 +115,7 @@
     }
 }
 
-TEST_CASE("what must not run twice is sent again only if it has not run")
+TEST_CASE("an at-most-once request is sent again only if it has not run")
 {
     auto booking = make_route("/a/", request_kind::at_most_once);
     booking.max_attempts = 2;
@@ -133,37 +134,37 @@
     CHECK(routing::may_retry(stream, attempt_end::broken, once));
 }
 
-// All engines of a service fail at once on every host. Unbounded, each
-// request would be sent twice, when there is least room for it.
-TEST_CASE("second sends keep to their share of the requests")
+// All engines of a service fail at once on every host. Without a budget each
+// request is sent twice, while capacity is lowest.
+TEST_CASE("retries stay within their share of the requests")
 {
     routing::retry_budget allowance(0.2, 3.0);
-    int taken = 0;
+    int retries = 0;
     constexpr int requests = 1'000;
     for (int sent = 0; sent < requests; ++sent) {
         allowance.record_request();
-        taken += allowance.try_acquire() ? 1 : 0;
+        retries += allowance.try_acquire() ? 1 : 0;
     }
-    CHECK(taken <= requests / 5 + 3);
-    CHECK(taken >= requests / 10);
+    CHECK(retries <= requests / 5 + 3);
+    CHECK(retries >= requests / 10);
 }
 
-TEST_CASE("an idle host's budget doesn't grow beyond its part")
+TEST_CASE("an idle host's budget doesn't exceed its burst")
 {
     routing::retry_budget allowance(0.2, 2.0);
     for (int sent = 0; sent < 1'000; ++sent) {
         allowance.record_request();
     }
-    int taken = 0;
+    int retries = 0;
     while (allowance.try_acquire()) {
-        ++taken;
+        ++retries;
     }
-    CHECK(taken == 2);
+    CHECK(retries == 2);
 }
 
-// A host is told to stop while a caller still opens long streams: one that
-// begins four seconds before the end is cut off in the middle.
-TEST_CASE("a stopping host takes only what it can finish")
+// A caller opens long streams while the host is stopping. A stream that begins
+// four seconds before the end is cut off.
+TEST_CASE("a stopping host accepts only requests that it can finish")
 {
     CHECK(routing::accepts_new_request(1'000ms, 8'000ms, 15'000ms));
     CHECK(!routing::accepts_new_request(3'500ms, 8'000ms, 15'000ms));
@@ -172,34 +173,36 @@
     CHECK(!routing::accepts_new_request(1'500ms, 2'000ms, 15'000ms));
 }
 
-// A stopping host cuts off what it has taken, and a caller loses its answer.
-TEST_CASE("a stopping host takes late requests only if they end before it")
+// Requests that outlast the process are cut off, and their callers lose the
+// answer.
+TEST_CASE("a stopping host accepts late requests only if they end in time")
 {
     constexpr auto limit = 8'000ms;
-    // The balancer's lag counts from the signal, which may be stamped late.
+    // The balancer's lag starts at the signal, whose timestamp may be late.
     CHECK(!routing::accepts_new_request(2'900ms, limit, 15'000ms));
-    // The process leaves before the limit.
+    // The process exits before the limit.
     CHECK(!routing::accepts_new_request(4'900ms, limit, 3'000ms));
     for (auto since = 2'900ms; since < limit; since += 10ms) {
-        for (auto longest = 100ms; longest < limit; longest += 100ms) {
-            if (routing::accepts_new_request(since, limit, longest)) {
-                CHECK(since + longest < limit - 250ms);
+        for (auto duration = 100ms; duration < limit; duration += 100ms) {
+            if (routing::accepts_new_request(since, limit, duration)) {
+                CHECK(since + duration < limit - 250ms);
             }
         }
     }
 }
 
-// The store comes back and all hosts watch it anew at the same moment. If
-// they also confirmed their keys at the same moments, the next outage would
-// find all of them equally old, and callers with good keys be refused early.
-TEST_CASE("hosts of a fleet confirm their keys at different times")
+// After an outage of the store all hosts start their watches at the same
+// moment. If they also renewed their leases at the same moments, all leases
+// would be equally old at the next outage, and callers with valid keys would be
+// refused early.
+TEST_CASE("hosts of a fleet renew their key leases at different times")
 {
     routing::watch_inputs inputs;
     inputs.peers = 6;
-    auto const shortest = routing::watch_wait(inputs, 0.0);
-    auto const longest = routing::watch_wait(inputs, 1.0);
-    CHECK(longest - shortest >= 2'000ms);
-    CHECK(longest <= inputs.key_lifetime * 3 / 5);
+    auto const min_wait = routing::watch_wait(inputs, 0.0);
+    auto const max_wait = routing::watch_wait(inputs, 1.0);
+    CHECK(max_wait - min_wait >= 2'000ms);
+    CHECK(max_wait <= inputs.key_lifetime * 3 / 5);
     inputs.peers = 0;
     CHECK(routing::watch_wait(inputs, 0.0) <= inputs.key_lifetime * 2 / 5);
     inputs.peers = 70;
--- a/tests/routing/directory_test.cpp
+++ b/tests/routing/directory_test.cpp
@@ -6,10 +6,10 @@
 using namespace caperjunction;
 using namespace caperjunction::test;
 
-// The store is away for longer than its leases last. When it comes back it
-// removes all entries before their engines have written again, and a host
-// that believed it would refuse every request for seconds.
-TEST_CASE("entries that lapse while the store was away are kept for a while")
+// The store is unavailable for longer than its leases. When it recovers it
+// removes all entries before their engines have renewed them. A host that
+// applied this at once would refuse every request for seconds.
+TEST_CASE("entries that expire during a store outage are kept for a while")
 {
     routing::upstream_directory directory(measure);
     directory.put(engine("e1"));
@@ -26,7 +26,7 @@
     CHECK(directory.of_service("llm")[0]->description.id == "e1");
 }
 
-TEST_CASE("an entry that is removed while all is calm is gone at once")
+TEST_CASE("an entry that is removed in the steady state is dropped at once")
 {
     routing::upstream_directory directory(measure);
     directory.put(engine("e1"));
@@ -39,24 +39,24 @@
 TEST_CASE("a draining engine gets no new request and stays known")
 {
     routing::upstream_directory directory(measure);
-    auto leaving = engine("e1");
-    directory.put(leaving);
-    leaving.draining = true;
-    directory.put(leaving);
+    auto draining = engine("e1");
+    directory.put(draining);
+    draining.draining = true;
+    directory.put(draining);
     CHECK(directory.of_service("llm").empty());
     CHECK(directory.find("e1") != nullptr);
 }
 
-// An engine starts anew under the id that it had. What a host remembers of
-// it, down to open connections, belongs to the one before.
+// An engine restarts under the same id. The state that a host holds about it,
+// including open connections, belongs to the previous process.
 TEST_CASE("a new start under the same id is another engine")
 {
     routing::upstream_directory directory(measure);
     directory.put(engine("e1"));
     auto const before = directory.find("e1");
-    auto again = engine("e1");
-    again.started = 2;
-    directory.put(again);
+    auto restarted = engine("e1");
+    restarted.started = 2;
+    directory.put(restarted);
     CHECK(directory.find("e1") != before);
     CHECK(before->is_retired);
     CHECK(directory.of_service("llm").size() == 1);
@@ -71,7 +71,7 @@
     CHECK(directory.of_service("other").size() == 1);
 }
 
-TEST_CASE("what a whole read lacks is missing")
+TEST_CASE("entries missing from a complete read are dropped")
 {
     routing::upstream_directory directory(measure);
     directory.put(engine("e1"));
@@ -81,9 +81,9 @@
     CHECK(directory.find("e2") != nullptr);
 }
 
-// One request breaks each engine that runs it and its caller sends it again.
-// Each try costs all streams of another engine.
-TEST_CASE("what is there at three breaks is suspect, and success clears it")
+// A request crashes each engine that runs it, and its caller repeats it. Each
+// attempt ends all streams of another engine.
+TEST_CASE("a request in flight at three crashes is suspect until it succeeds")
 {
     routing::crash_suspects suspects;
     suspects.record_crash(1, start);
--- a/tests/routing/fetch_scheduler_test.cpp
+++ b/tests/routing/fetch_scheduler_test.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("a host nearby that knows more is asked at once")
+TEST_CASE("a change of a near host is fetched at once")
 {
     routing::fetch_scheduler scheduler;
     routing::fetch_scheduler::host_state const host{true, false, false};
@@ -27,7 +27,7 @@
     CHECK(scheduler.is_due(source_at(true), host, start));
 }
 
-TEST_CASE("a host that watches the store itself asks others late")
+TEST_CASE("a store watcher fetches from other hosts after a delay")
 {
     routing::fetch_scheduler scheduler;
     routing::fetch_scheduler::host_state const host{true, true, false};
@@ -36,7 +36,7 @@
     CHECK(scheduler.is_due(source_at(true), host, start + 500ms));
 }
 
-TEST_CASE("a change far off is left to the host that speaks, for a while")
+TEST_CASE("a remote change is left to the aggregator at first")
 {
     routing::fetch_scheduler scheduler;
     routing::fetch_scheduler::host_state const host{true, false, false};
@@ -46,8 +46,8 @@
     CHECK(aggregator.is_due(source_at(false), {true, false, true}, start));
 }
 
-// Asked for again at once, large lists fill the links of those that have them.
-TEST_CASE("after a large list a host rests, but not for long")
+// Without a back-off, large lists fill the links of the hosts that send them.
+TEST_CASE("a large list causes a back-off of limited duration")
 {
     routing::fetch_scheduler scheduler;
     routing::fetch_scheduler::host_state const host{true, false, false};
@@ -58,15 +58,15 @@
     CHECK(scheduler.is_due(source_at(true), host, start + 800ms));
 }
 
-// Hosts that all have trouble with a peer's link would otherwise wait for it
-// while the store itself is well.
+// With a slow link to a peer, hosts would otherwise wait for that peer although
+// the store is available.
 TEST_CASE("a host knows for how long it has lacked a change")
 {
     routing::fetch_scheduler scheduler;
     CHECK(scheduler.lag(5, 5, start) == 0ms);
     CHECK(scheduler.lag(5, 7, start + 100ms) == 0ms);
     CHECK(scheduler.lag(5, 9, start + 600ms) == 500ms);
-    // It has what it lacked first; what came later counts from now.
+    // The host has the change it lacked first; later changes count from now.
     CHECK(scheduler.lag(7, 9, start + 700ms) == 0ms);
     CHECK(scheduler.lag(7, 9, start + 900ms) == 200ms);
     CHECK(scheduler.lag(9, 9, start + 950ms) == 0ms);
--- a/tests/routing/fleet_gossip_test.cpp
+++ b/tests/routing/fleet_gossip_test.cpp
@@ -19,19 +19,21 @@
 model::time_point const start{std::chrono::hours(1)};
 constexpr std::uint64_t engine = 7;
 
-/// Hosts that tell each other through their tables alone, without sockets;
-/// each has one request on the same engine.
+/// Hosts that exchange digests through their tables only, without sockets. Each
+/// one has one request on the same engine.
 class gossip
 {
 public:
-    gossip(int hosts, int centres)
+    gossip(int hosts, int data_centres)
     {
         std::vector<model::endpoint> const seeds{
             at(0), at(hosts / 2), at(hosts - 1)};
         for (int number = 0; number < hosts; ++number) {
-            auto const centre = static_cast<std::uint64_t>(number % centres);
-            m_hosts.push_back(
-                {at(number), centre, peer_table(at(number), centre, seeds)});
+            auto const data_centre =
+                static_cast<std::uint64_t>(number % data_centres);
+            m_hosts.push_back({at(number),
+                               data_centre,
+                               peer_table(at(number), data_centre, seeds)});
         }
     }
 
@@ -42,7 +44,8 @@
                 7'000};
     }
 
-    /// One round of digests from each host, 200 ms after the last.
+    /// Sends one round of digests from each host, 200 ms after the previous
+    /// round.
     void round()
     {
         m_now += 200ms;
@@ -55,27 +58,28 @@
             peer_digest own;
             own.generation = 1;
             own.sequence = m_sequence;
-            own.data_centre = host.centre;
+            own.data_centre = host.data_centre;
             own.revisions.upstreams = host.revision;
             own.loads = {{engine, {1, 100, 0}, {}}};
             if (suspects_of) {
                 own.suspects = suspects_of();
             }
-            auto const news = host.table.make_digests(own);
+            auto const digests = host.table.make_digests(own);
             for (auto const& to : host.table.recipients(
                      m_now, {host.revision}, has_load_change)) {
-                peer_digest told = news.of(to.kind);
-                told.requests_reply = to.requests_reply;
+                peer_digest digest = digests.of(to.kind);
+                digest.requests_reply = to.requests_reply;
                 if (to.wants_neighbours) {
-                    told.neighbours =
-                        host.table.neighbours_for(to.at, 16, m_draw += 7);
+                    digest.neighbours =
+                        host.table.neighbours_for(to.at, 16, m_random += 7);
                 }
                 ++sent;
-                sent_far +=
-                    to.at == host.self || centre_of(to.at) == host.centre ? 0
-                                                                          : 1;
-                most_suspects = std::max(most_suspects, told.suspects.size());
-                deliver(host.self, to.at, told);
+                sent_far += to.at == host.self
+                                    || data_centre_of(to.at) == host.data_centre
+                                ? 0
+                                : 1;
+                most_suspects = std::max(most_suspects, digest.suspects.size());
+                deliver(host.self, to.at, digest);
             }
         }
         for (member& host : m_hosts) {
@@ -98,7 +102,7 @@
     struct member
     {
         model::endpoint self;
-        std::uint64_t centre;
+        std::uint64_t data_centre;
         peer_table table;
         std::uint64_t revision = 1;
         bool is_down = false;
@@ -109,32 +113,32 @@
         return m_hosts;
     }
 
-    /// What the next host suspects.
+    /// Returns the suspects of the next host.
     std::function<std::vector<routing::crash_suspect>()> suspects_of;
-    /// All loads are news in each round.
+    /// All loads change significantly in each round.
     bool has_load_change = false;
     std::size_t sent = 0;
-    /// Those that crossed between data centres.
+    /// Digests sent to other data centres.
     std::size_t sent_far = 0;
     std::size_t most_suspects = 0;
 
 private:
-    std::uint64_t centre_of(model::endpoint const& address) const
+    std::uint64_t data_centre_of(model::endpoint const& address) const
     {
         auto const found =
             std::find_if(m_hosts.begin(), m_hosts.end(), [&](auto const& it) {
                 return it.self == address;
             });
-        return found->centre;
+        return found->data_centre;
     }
 
     void deliver(model::endpoint const& from,
                  model::endpoint const& to,
-                 peer_digest const& told)
+                 peer_digest const& digest)
     {
         for (member& host : m_hosts) {
             if (host.self == to && !host.is_down) {
-                host.table.record_digest(from, told, m_now);
+                host.table.record_digest(from, digest, m_now);
             }
         }
     }
@@ -142,59 +146,60 @@
     std::vector<member> m_hosts;
     model::time_point m_now = start;
     std::uint64_t m_sequence = 0;
-    std::uint64_t m_draw = 0;
+    std::uint64_t m_random = 0;
 };
 
 } // namespace
 
-// Each host used to name the same sixteen others, the first by address. In a
-// fleet of 71 most hosts never heard of their neighbours: engines were
-// believed to hold a third of what they held, and callers waited in queues
-// that no host knew of.
-TEST_CASE("each host of a fleet learns of all, and of what all have sent")
+// A defect that this guards against: each host sent the addresses of the same
+// sixteen hosts, the first by address. In a fleet of 71 most hosts never
+// received their neighbours' digests. Engines appeared to have a third of their
+// load, and callers waited in queues that no host knew of.
+TEST_CASE("each host of a fleet learns of all hosts and their loads")
 {
     struct size
     {
         int hosts = 0;
-        int centres = 0;
+        int data_centres = 0;
     };
 
-    for (size const& of : std::vector<size>{
+    for (size const& fleet_size : std::vector<size>{
              {2, 1}, {7, 3}, {11, 3}, {13, 3}, {30, 1}, {71, 6}, {150, 21}}) {
-        int const count = of.hosts;
-        int const centres = of.centres;
+        int const count = fleet_size.hosts;
+        int const data_centres = fleet_size.data_centres;
         CAPTURE(count);
-        gossip fleet(count, centres);
+        gossip fleet(count, data_centres);
         fleet.rounds(30);
-        int readers = 0;
+        int store_watchers = 0;
         for (gossip::member& host : fleet.hosts()) {
             CHECK(host.table.alive() == static_cast<std::size_t>(count - 1));
             CHECK(host.table.load_of(engine).load.running
                   == static_cast<std::uint32_t>(count - 1));
-            readers += host.table.is_store_watcher() ? 1 : 0;
+            store_watchers += host.table.is_store_watcher() ? 1 : 0;
         }
-        int const wanted = count <= 12 ? count : std::max(5, centres);
-        CHECK(readers >= wanted);
-        CHECK(readers < wanted + centres);
+        int const expected = count <= 12 ? count : std::max(5, data_centres);
+        CHECK(store_watchers >= expected);
+        CHECK(store_watchers < expected + data_centres);
     }
 }
 
-// What a host sends and hears must follow its data centre, not the fleet:
-// else 300 hosts fill their links with words about themselves.
+// The number of digests of a host must depend on its data centre, not on the
+// fleet. Otherwise 300 hosts fill their links with digests.
 TEST_CASE("digests of a large fleet follow the size of data centres")
 {
     gossip fleet(150, 21);
     fleet.rounds(30);
     std::size_t const before = fleet.sent;
     fleet.rounds(10);
-    double const of_each = static_cast<double>(fleet.sent - before) / 10 / 150;
-    // Six neighbours; and one or two of a centre's seven tell the others.
-    CHECK(of_each < 14.0);
+    double const per_host = static_cast<double>(fleet.sent - before) / 10 / 150;
+    // Six neighbours, and one or two of seven hosts in a data centre send to
+    // others.
+    CHECK(per_host < 14.0);
 }
 
-// A rack goes, and with it the host that spoke for its data centre. Loads of
-// the dead would keep requests away from engines that are free.
-TEST_CASE("hosts that are lost are forgotten, and another speaks for them")
+// A rack fails, including the aggregator of a data centre. If the loads of lost
+// hosts were kept, free engines would get no requests.
+TEST_CASE("lost hosts are forgotten, and another host becomes aggregator")
 {
     gossip fleet(71, 6);
     fleet.rounds(30);
@@ -214,9 +219,9 @@
     }
 }
 
-// A published change is in force only where it is known. One host has read
-// it; a second later each must know whom to ask for it.
-TEST_CASE("a change is heard of everywhere within a second")
+// A published change is in force only on hosts that have it. One host has read
+// it; within a second all others must know a host to fetch it from.
+TEST_CASE("a change reaches all hosts within a second")
 {
     gossip fleet(71, 6);
     fleet.rounds(30);
@@ -224,7 +229,7 @@
     for (int step = 0; step < 5; ++step) {
         fleet.round();
         for (gossip::member& host : fleet.hosts()) {
-            // It is fetched from whoever has it.
+            // The host fetches it from any host that has it.
             if (host.table
                     .newer_than(
                         {host.revision}, routing::list_kind::upstreams, 0)
@@ -239,9 +244,9 @@
     }
 }
 
-// Engines crash under load, and every request that ran there is suspect on
-// its host. If all of them were told on, digests would fill narrow links, and
-// what they say of loads would be lost just when it is needed.
+// When engines crash under load, each request in flight becomes a suspect on
+// its host. If all suspects were sent, digests would fill narrow links, and
+// loads would be lost when they matter most.
 TEST_CASE("digests stay small when many requests are suspect")
 {
     gossip fleet(30, 3);
@@ -258,67 +263,69 @@
     CHECK(fleet.most_suspects <= 100);
 }
 
-// One request breaks the engines that run it, and its caller sends it to
-// another host each time. No host sees more than one crash; together they
-// have to stop it.
-TEST_CASE("crashes that different data centres saw are added up")
+// One request crashes the engines that run it, and its caller sends it to
+// another host each time. No host sees more than one crash; only the sum over
+// all hosts stops it.
+TEST_CASE("crashes seen in different data centres are added up")
 {
     gossip fleet(30, 3);
     fleet.rounds(20);
-    int asked = 0;
-    fleet.suspects_of = [&asked]() -> std::vector<routing::crash_suspect> {
-        bool const saw_it = asked++ % 30 < 3;
-        return saw_it ? std::vector<routing::crash_suspect>{{42, 1}}
-                      : std::vector<routing::crash_suspect>{};
+    int calls = 0;
+    fleet.suspects_of = [&calls]() -> std::vector<routing::crash_suspect> {
+        bool const has_crash = calls++ % 30 < 3;
+        return has_crash ? std::vector<routing::crash_suspect>{{42, 1}}
+                         : std::vector<routing::crash_suspect>{};
     };
     fleet.rounds(6);
-    int place = 0;
+    int index = 0;
     for (gossip::member const& host : fleet.hosts()) {
-        std::uint32_t const own = place++ < 3 ? 1 : 0;
+        std::uint32_t const own = index++ < 3 ? 1 : 0;
         CHECK(own + host.table.crashes_of(42) == 3);
     }
 }
 
-// A fleet starts, and thousands of upstreams are published within seconds. If
-// the one host that has read them told all its neighbours at once, all would
-// ask it, and its narrow link would hold up routes and keys for half a minute.
-TEST_CASE("a change has several sources before all of a data centre hear of it")
+// Thousands of upstreams are published within seconds of a fleet's start. If
+// the only host that has read them sent digests to all its neighbours at once,
+// all would fetch from it, and its narrow link would delay routes and keys by
+// half a minute.
+TEST_CASE("a change has several sources before all of a data centre know it")
 {
     gossip fleet(61, 1);
     fleet.rounds(30);
-    gossip::member& reader = fleet.hosts()[7];
-    reader.revision = 2;
-    auto const told =
-        reader.table.recipients_of_change(fleet.now(), {reader.revision}, 5);
-    CHECK(told.size() >= 8);
-    CHECK(told.size() <= 20);
+    gossip::member& watcher = fleet.hosts()[7];
+    watcher.revision = 2;
+    auto const recipients =
+        watcher.table.recipients_of_change(fleet.now(), {watcher.revision}, 5);
+    CHECK(recipients.size() >= 8);
+    CHECK(recipients.size() <= 20);
 }
 
-// Changes are told between the usual digests, and each digest replaces the one
-// before it. Without the loads in it, hosts would take busy engines for free
-// ones for a moment after each change, just when engines come and go.
-TEST_CASE("a digest that tells of a change leaves no loads out")
+// Changes are sent between periodic digests, and each digest replaces the
+// previous one. Without loads in it, busy engines would appear free after each
+// change, while engines come and go.
+TEST_CASE("a digest sent for a change contains all loads")
 {
     gossip fleet(71, 6);
     fleet.rounds(30);
-    int speakers_told = 0;
+    int aggregator_digests = 0;
     for (gossip::member& host : fleet.hosts()) {
         if (!host.table.is_aggregator()) {
             continue;
         }
-        auto const told = host.table.recipients_of_change(fleet.now(), {2}, 0);
-        for (auto const& to : told) {
-            speakers_told +=
+        auto const recipients =
+            host.table.recipients_of_change(fleet.now(), {2}, 0);
+        for (auto const& to : recipients) {
+            aggregator_digests +=
                 to.kind == routing::digest_kind::aggregated_loads ? 1 : 0;
         }
     }
-    // Each of six tells five.
-    CHECK(speakers_told == 30);
+    // Each of the six aggregators sends to five others.
+    CHECK(aggregator_digests == 30);
 }
 
-// Between data centres bytes are narrow and paid for. Told by the clock alone,
-// loads took as many of them as the requests of a small fleet; callers of a
-// burst still need every host to know at once what the others have sent.
+// Links between data centres are narrow and billed. Sent at a fixed period
+// only, loads took as many bytes as the requests of a small fleet. In a burst,
+// every host still needs the loads of the others at once.
 TEST_CASE("loads cross between data centres when they change")
 {
     constexpr int hosts = 8;
@@ -327,7 +334,7 @@
     fleet.rounds(30);
     fleet.sent_far = 0;
     fleet.rounds(rounds_of_ten_seconds);
-    // Of 8 hosts in 3 data centres, 42 pairs stand apart.
+    // 42 pairs of 8 hosts in 3 data centres are in different data centres.
     CHECK(fleet.sent_far <= std::size_t{42} * 13);
     CHECK(fleet.sent_far >= std::size_t{42} * 12);
     fleet.has_load_change = true;
@@ -336,28 +343,30 @@
     CHECK(fleet.sent_far == 42);
 }
 
-// Where the store stands moves on all the time. Told of it at once, other data
-// centres would get a digest for each step, over links that are paid for.
-TEST_CASE("a confirmation alone is no news for other data centres")
+// The revision of the store increases all the time. If it were sent at once,
+// other data centres would get a digest for each increase, over billed links.
+TEST_CASE("a confirmation alone causes no digest to other data centres")
 {
     gossip fleet(71, 6);
     fleet.rounds(30);
-    auto const told_far = [&fleet](gossip::member& host,
-                                   routing::store_revisions const& known) {
-        auto const told = host.table.recipients(fleet.now(), known, false);
-        return std::count_if(told.begin(), told.end(), [](auto const& to) {
-            return to.kind == routing::digest_kind::presence;
-        });
-    };
-    std::size_t relaying = 0;
+    auto const remote_presence_count =
+        [&fleet](gossip::member& host, routing::store_revisions const& known) {
+            auto const recipients =
+                host.table.recipients(fleet.now(), known, false);
+            return std::count_if(
+                recipients.begin(), recipients.end(), [](auto const& to) {
+                    return to.kind == routing::digest_kind::presence;
+                });
+        };
+    std::size_t gateways = 0;
     for (gossip::member& host : fleet.hosts()) {
         if (!host.table.is_gateway()) {
             continue;
         }
-        ++relaying;
-        told_far(host, {2, 1, 2});
-        CHECK(told_far(host, {2, 1, 9}) == 0);
-        CHECK(told_far(host, {2, 3, 9}) > 0);
+        ++gateways;
+        remote_presence_count(host, {2, 1, 2});
+        CHECK(remote_presence_count(host, {2, 1, 9}) == 0);
+        CHECK(remote_presence_count(host, {2, 3, 9}) > 0);
     }
-    CHECK(relaying == 12);
+    CHECK(gateways == 12);
 }
--- a/tests/routing/load_change_detector_test.cpp
+++ b/tests/routing/load_change_detector_test.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-std::vector<peer_load> loads(std::uint32_t running, std::uint64_t unread)
+std::vector<peer_load> loads(std::uint32_t running,
+                             std::uint64_t pending_tokens)
 {
-    return {{1, {running, unread, 0}, {}}, {2, {3, 0, 0}, {}}};
+    return {{1, {running, pending_tokens, 0}, {}}, {2, {3, 0, 0}, {}}};
 }
 
 } // namespace
 
-TEST_CASE("a queue that grows is news, a request more is not")
+TEST_CASE("a growing queue is a significant change, one more request is not")
 {
     load_change_detector detector;
     detector.record_advertised(loads(2, 1'000), start);
@@ -27,9 +28,9 @@
     CHECK(detector.has_significant_change(loads(9, 1'000), start + 1s));
 }
 
-// A burst that has ended is news as well: else hosts far away would go on
-// avoiding an engine that is free.
-TEST_CASE("a queue that shrinks is news")
+// The end of a burst is significant too: otherwise hosts in other data centres
+// would continue to avoid an engine that is free.
+TEST_CASE("a shrinking queue is a significant change")
 {
     load_change_detector detector;
     detector.record_advertised({{1, {2, 9'000, 0}, {}}, {2, {1, 0, 0}, {}}},
@@ -44,7 +45,7 @@
     CHECK(detector.has_significant_change({}, start + 1s));
 }
 
-TEST_CASE("news are told at a bounded pace")
+TEST_CASE("changes are advertised at a bounded rate")
 {
     load_change_detector detector;
     detector.record_advertised(loads(2, 1'000), start);
--- a/tests/routing/overload_test.cpp
+++ b/tests/routing/overload_test.cpp
@@ -22,45 +22,45 @@
     return inputs;
 }
 
-/// Prompts that come at twice the pace at which one engine reads them; each
-/// that is turned away comes back once.
+/// Prompts that arrive at twice the rate at which one engine reads them. Each
+/// refused prompt is retried once.
 struct burst
 {
     static constexpr model::milliseconds read_time{50};
     static constexpr model::milliseconds target{1'500};
 
-    bool turns_away = false;
+    bool refuses = false;
     int in_time = 0;
     int late = 0;
-    int unread_at_end = 0;
+    int pending_at_end = 0;
 
-    void play()
+    void run()
     {
         model::milliseconds queued{0};
-        std::deque<model::milliseconds> returns;
+        std::deque<model::milliseconds> retries;
         constexpr model::milliseconds length{6'000};
         constexpr model::milliseconds step{25};
         for (model::milliseconds now{0}; now < length; now += step) {
             queued = std::max(queued - step, model::milliseconds{0});
-            arrive(queued, now, &returns);
-            while (!returns.empty() && returns.front() <= now) {
-                returns.pop_front();
+            arrive(queued, now, &retries);
+            while (!retries.empty() && retries.front() <= now) {
+                retries.pop_front();
                 arrive(queued, now, nullptr);
             }
         }
-        unread_at_end = static_cast<int>(queued / read_time);
+        pending_at_end = static_cast<int>(queued / read_time);
     }
 
 private:
     void arrive(model::milliseconds& queued,
                 model::milliseconds now,
-                std::deque<model::milliseconds>* returns)
+                std::deque<model::milliseconds>* retries)
     {
-        auto const back =
+        auto const retry_after =
             routing::overload_retry_after(bulk(queued + read_time));
-        if (turns_away && back) {
-            if (returns != nullptr) {
-                returns->push_back(now + *back);
+        if (refuses && retry_after) {
+            if (retries != nullptr) {
+                retries->push_back(now + *retry_after);
             }
             return;
         }
@@ -71,7 +71,7 @@
 
 } // namespace
 
-TEST_CASE("prompts that will be in time are taken, whatever their rank")
+TEST_CASE("prompts that will be in time are accepted, whatever their rank")
 {
     CHECK(!routing::overload_retry_after(bulk(900ms)));
     overload_inputs middle;
@@ -80,8 +80,9 @@
     CHECK(!routing::overload_retry_after(middle));
 }
 
-// Under overload the least urgent give way first; the most urgent never do.
-TEST_CASE("the least urgent are turned away first, the most urgent never")
+// Under overload the least urgent prompts are refused first, and the most
+// urgent ones never.
+TEST_CASE("the least urgent are refused first, the most urgent never")
 {
     auto inputs = bulk(1'200ms);
     CHECK(routing::overload_retry_after(inputs));
@@ -93,42 +94,44 @@
     CHECK(!routing::overload_retry_after(inputs));
 }
 
-TEST_CASE("who is turned away is told when the queue will have shrunk")
+TEST_CASE("the retry delay is the time until the queue has shrunk")
 {
     CHECK(*routing::overload_retry_after(bulk(1'700ms)) == 800ms);
     CHECK(*routing::overload_retry_after(bulk(901ms)) == 300ms);
     CHECK(*routing::overload_retry_after(bulk(60'000ms)) == 2'000ms);
 }
 
-// Long prompts come twice as fast as they are read. Taken all, they queue
-// until every caller is late; turned away in time, as many as the engine can
-// read are answered in time, and nothing is left to read when the burst ends.
+// Long prompts arrive twice as fast as they are read. If all are accepted, they
+// queue until every one is late. If some are refused early, as many as the
+// engine can read are answered in time, and nothing is pending when the burst
+// ends.
 TEST_CASE("in a burst beyond capacity more callers are answered in time")
 {
     burst all;
-    all.play();
+    all.run();
     burst some;
-    some.turns_away = true;
-    some.play();
+    some.refuses = true;
+    some.run();
     CHECK(some.late == 0);
     CHECK(some.in_time > 2 * all.in_time);
-    CHECK(some.unread_at_end * 2 < all.unread_at_end);
+    CHECK(some.pending_at_end * 2 < all.pending_at_end);
 }
 
-TEST_CASE("the lane of urgent streams follows their number")
+TEST_CASE("the number of reserved engines follows the number of urgent streams")
 {
     reservation_inputs inputs;
     inputs.engines = 90;
     inputs.slots = 48;
-    std::size_t const at_rest = routing::reserved_engine_count(inputs);
-    CHECK(at_rest >= 9);
-    CHECK(at_rest <= 15);
-    std::size_t before = at_rest;
+    std::size_t const when_idle = routing::reserved_engine_count(inputs);
+    CHECK(when_idle >= 9);
+    CHECK(when_idle <= 15);
+    std::size_t before = when_idle;
     for (std::uint32_t streams : {200U, 800U, 1'200U, 1'600U}) {
         inputs.urgent_streams = streams;
         std::size_t const now = routing::reserved_engine_count(inputs);
         CHECK(now >= before);
-        // They fit, with room for what others have just sent.
+        // The streams fit, with capacity for those that other hosts have just
+        // started.
         CHECK(static_cast<double>(now) * inputs.slots >= streams * 1.2);
         before = now;
     }
@@ -136,7 +139,7 @@
     CHECK(routing::reserved_engine_count(inputs) <= 60);
 }
 
-TEST_CASE("few engines are divided too, and very few not at all")
+TEST_CASE("engines are reserved in small services, but not in very small ones")
 {
     reservation_inputs inputs;
     inputs.slots = 128;
@@ -146,7 +149,7 @@
     CHECK(routing::reserved_engine_count(inputs) == 1);
     inputs.urgent_streams = 10'000;
     CHECK(routing::reserved_engine_count(inputs) == 1);
-    // One of the lane may crash.
+    // One of the reserved engines may crash.
     inputs.urgent_streams = 50;
     inputs.engines = 12;
     CHECK(routing::reserved_engine_count(inputs) == 3);
--- a/tests/routing/peer_table_test.cpp
+++ b/tests/routing/peer_table_test.cpp
@@ -25,14 +25,14 @@
 
 peer_digest digest(std::uint64_t sequence, std::uint64_t data_centre = 1)
 {
-    peer_digest made;
-    made.generation = 1;
-    made.sequence = sequence;
-    made.data_centre = data_centre;
-    return made;
+    peer_digest result;
+    result.generation = 1;
+    result.sequence = sequence;
+    result.data_centre = data_centre;
+    return result;
 }
 
-/// A table of `count` hosts that are heard, ten to a data centre.
+/// Returns a table with the digests of `count` hosts, ten in each data centre.
 peer_table fleet(int count)
 {
     peer_table table(host(0), 0, {});
@@ -63,9 +63,9 @@
     CHECK(table.load_of(7).load.running == 3);
 }
 
-// Datagrams overtake each other. An old one would bring back load that has
-// long ended.
-TEST_CASE("a digest that comes late changes nothing")
+// Datagrams may arrive out of order. An old digest would restore load that has
+// ended.
+TEST_CASE("a late digest is ignored")
 {
     peer_table table(host(0), 1, {});
     table.record_digest(host(1), digest(5), start);
@@ -76,31 +76,31 @@
     CHECK(table.load_of(7).load.running == 0);
 }
 
-TEST_CASE("a host that starts anew is heard although its count is lower")
+TEST_CASE("digests of a restarted host are accepted despite a lower sequence")
 {
     peer_table table(host(0), 1, {});
     table.record_digest(host(1), digest(5), start);
-    auto anew = digest(1);
-    anew.generation = 2;
-    anew.loads = {{7, {1, 10, 0}, {}}};
-    table.record_digest(host(1), anew, start);
+    auto restarted = digest(1);
+    restarted.generation = 2;
+    restarted.loads = {{7, {1, 10, 0}, {}}};
+    table.record_digest(host(1), restarted, start);
     table.aggregate();
     CHECK(table.load_of(7).load.running == 1);
-    anew.generation = 1;
-    anew.loads = {{7, {2, 10, 0}, {}}};
-    table.record_digest(host(1), anew, start);
+    restarted.generation = 1;
+    restarted.loads = {{7, {2, 10, 0}, {}}};
+    table.record_digest(host(1), restarted, start);
     table.aggregate();
     CHECK(table.load_of(7).load.running == 2);
-    anew.loads = {{7, {1, 10, 0}, {}}};
-    anew.sequence = 2;
-    table.record_digest(host(1), anew, start);
+    restarted.loads = {{7, {1, 10, 0}, {}}};
+    restarted.sequence = 2;
+    table.record_digest(host(1), restarted, start);
     table.aggregate();
     CHECK(table.load_of(7).load.running == 1);
 }
 
-// A host loses power. What it had sent ends with it, and load that is never
-// taken back would keep others away from its engines.
-TEST_CASE("a silent host's load is forgotten, and its place in the fleet kept")
+// A host loses power, and its requests end. If its load were kept, other hosts
+// would not use its engines.
+TEST_CASE("a silent host's load is dropped, and the fleet size seen is kept")
 {
     peer_table table(host(0), 1, {});
     auto received = digest(1);
@@ -113,20 +113,20 @@
     CHECK(table.largest_fleet_seen() == 2);
 }
 
-TEST_CASE("hosts are learnt from each other, never oneself")
+TEST_CASE("a table learns of other hosts from digests, never of its own host")
 {
     peer_table table(host(0), 1, {host(1)});
     auto received = digest(1);
     received.neighbours = {{host(0), 1, false}, {host(2), 1, false}};
     table.record_digest(host(1), received, start);
-    auto const audience = table.recipients(start, {}, false);
-    CHECK(audience.size() == 2);
+    auto const recipients = table.recipients(start, {}, false);
+    CHECK(recipients.size() == 2);
 }
 
 TEST_CASE("all hosts of a small fleet watch the store, few of a large one do")
 {
     CHECK(fleet(7).is_store_watcher());
-    int readers = 0;
+    int store_watchers = 0;
     for (int own = 0; own < 70; ++own) {
         peer_table table(host(own), 0, {});
         for (int other = 0; other < 70; ++other) {
@@ -134,15 +134,15 @@
                 table.record_digest(host(other), digest(1, 0), start);
             }
         }
-        readers += table.is_store_watcher() ? 1 : 0;
+        store_watchers += table.is_store_watcher() ? 1 : 0;
     }
-    CHECK(readers == 5);
+    CHECK(store_watchers == 5);
 }
 
-// All hosts of a large fleet start at once and lack what one of them has
-// read. If all ask the same one, its link is full for seconds, published
-// routes are answered 404 meanwhile, and removed keys go on working.
-TEST_CASE("hosts that lack a change don't all ask the same one")
+// All hosts of a large fleet start at once and lack what one of them has read.
+// If all fetch from the same one, its link is full for seconds. Meanwhile
+// published routes are answered 404 and revoked keys remain usable.
+TEST_CASE("hosts that lack a change don't all fetch from the same one")
 {
     peer_table table(host(0), 0, {});
     for (int number = 1; number < 40; ++number) {
@@ -150,20 +150,20 @@
         received.revisions.upstreams = 8;
         table.record_digest(host(number), received, start);
     }
-    std::map<std::string, int> asked;
+    std::map<std::string, int> sources;
     for (std::uint64_t random_value = 0; random_value < 90; ++random_value) {
         auto const source =
             table.newer_than({7}, routing::list_kind::upstreams, random_value);
         REQUIRE(source.at != nullptr);
         CHECK(source.is_near);
-        ++asked[source.at->address];
+        ++sources[source.at->address];
     }
-    CHECK(asked.size() == 9);
+    CHECK(sources.size() == 9);
     CHECK(table.newer_than({8}, routing::list_kind::upstreams, 0).at
           == nullptr);
 }
 
-TEST_CASE("a change that no host nearby has is asked for far away")
+TEST_CASE("a change that no near host has is fetched from another data centre")
 {
     peer_table table(host(0), 0, {});
     table.record_digest(host(1), digest(1, 0), start);
@@ -176,10 +176,10 @@
     CHECK(!source.is_near);
 }
 
-// In a large fleet each host hears only its data centre's hosts often. Those
-// that speak for a data centre bring in the rest; two that think they do, as
-// one starts, must not be counted twice.
-TEST_CASE("sums of other data centres come in once")
+// In a large fleet each host frequently receives digests only from its own data
+// centre, and aggregators supply the remaining loads. While one starts, a data
+// centre may have two aggregators, which must not be counted twice.
+TEST_CASE("aggregated loads of another data centre are counted once")
 {
     peer_table table = fleet(40);
     auto received = digest(2, 3);
@@ -187,14 +187,14 @@
     received.aggregated_loads = {{7, {5, 100}}};
     table.record_digest(host(30), received, start);
     table.record_digest(host(31), received, start);
-    auto const beyond = table.remote_loads();
-    REQUIRE(beyond.size() == 1);
-    CHECK(beyond[0].load.running == 5);
+    auto const remote = table.remote_loads();
+    REQUIRE(remote.size() == 1);
+    CHECK(remote[0].load.running == 5);
 }
 
-TEST_CASE("one host of a data centre speaks for it")
+TEST_CASE("each data centre has one aggregator")
 {
-    int speakers = 0;
+    int aggregators = 0;
     for (int own = 0; own < 40; ++own) {
         peer_table table(host(own), static_cast<std::uint64_t>(own / 10), {});
         for (int other = 0; other < 40; ++other) {
@@ -205,36 +205,37 @@
                     start);
             }
         }
-        speakers += table.is_aggregator() ? 1 : 0;
+        aggregators += table.is_aggregator() ? 1 : 0;
     }
-    CHECK(speakers == 4);
+    CHECK(aggregators == 4);
 }
 
-TEST_CASE("a digest reads as it was written")
+TEST_CASE("a digest is decoded as it was encoded")
 {
     CHECK(rc::check([](std::uint64_t generation,
                        std::uint64_t sequence,
                        std::uint64_t revision,
-                       std::uint32_t seen,
+                       std::uint32_t hosts,
                        std::uint32_t upstream,
                        std::uint16_t running,
-                       std::uint32_t unread) {
+                       std::uint32_t pending_tokens) {
         proxy::digest_frame frame;
         frame.digest.generation = generation;
         frame.digest.sequence = sequence;
         frame.digest.limits = {{4, 1.625, 70ms}, {5, std::nullopt, 3s}};
         frame.digest.revisions = {revision, revision + 1, revision + 2};
-        frame.digest.hosts_seen = seen;
+        frame.digest.hosts_seen = hosts;
         frame.digest.is_aggregator = true;
         frame.digest.loads = {
-            {upstream, {running, unread, 5}, {1.5, 1, 120ms}}};
+            {upstream, {running, pending_tokens, 5}, {1.5, 1, 120ms}}};
         frame.digest.aggregated_loads = {
-            {upstream + 1, {running, unread, 0}, {}}};
-        frame.digest.remote_loads = {{upstream + 2, {running, unread, 0}, {}}};
-        frame.digest.suspects = {{upstream, seen}};
-        frame.digest.hosts_in_data_centre = seen / 2;
-        frame.digest.hosts_alive = seen;
-        frame.digest.data_centres = seen / 4;
+            {upstream + 1, {running, pending_tokens, 0}, {}}};
+        frame.digest.remote_loads = {
+            {upstream + 2, {running, pending_tokens, 0}, {}}};
+        frame.digest.suspects = {{upstream, hosts}};
+        frame.digest.hosts_in_data_centre = hosts / 2;
+        frame.digest.hosts_alive = hosts;
+        frame.digest.data_centres = hosts / 4;
         frame.digest.is_gateway = true;
         frame.digest.requests_reply = true;
         frame.digest.neighbours = {{host(9), generation, true}};
@@ -251,11 +252,12 @@
         RC_ASSERT(read->digest.limits[0].age == 70ms);
         RC_ASSERT(!read->digest.limits[1].requests_per_second);
         RC_ASSERT(read->digest.revisions == frame.digest.revisions);
-        RC_ASSERT(read->digest.hosts_seen == seen);
+        RC_ASSERT(read->digest.hosts_seen == hosts);
         RC_ASSERT(read->digest.is_aggregator);
         RC_ASSERT(read->digest.loads[0].upstream == upstream);
         RC_ASSERT(read->digest.loads[0].load.running == running);
-        RC_ASSERT(read->digest.loads[0].load.pending_prefill_tokens == unread);
+        RC_ASSERT(read->digest.loads[0].load.pending_prefill_tokens
+                  == pending_tokens);
         RC_ASSERT(read->digest.loads[0].load.urgent == 5);
         RC_ASSERT(read->digest.loads[0].performance.slowdown == 1.5);
         RC_ASSERT(read->digest.loads[0].performance.observers == 1);
@@ -263,10 +265,10 @@
         RC_ASSERT(read->digest.aggregated_loads[0].performance.observers == 0);
         RC_ASSERT(read->digest.aggregated_loads[0].upstream == upstream + 1);
         RC_ASSERT(read->digest.remote_loads[0].upstream == upstream + 2);
-        RC_ASSERT(read->digest.suspects[0].crashes == seen);
-        RC_ASSERT(read->digest.hosts_in_data_centre == seen / 2);
-        RC_ASSERT(read->digest.hosts_alive == seen);
-        RC_ASSERT(read->digest.data_centres == seen / 4);
+        RC_ASSERT(read->digest.suspects[0].crashes == hosts);
+        RC_ASSERT(read->digest.hosts_in_data_centre == hosts / 2);
+        RC_ASSERT(read->digest.hosts_alive == hosts);
+        RC_ASSERT(read->digest.data_centres == hosts / 4);
         RC_ASSERT(read->digest.is_gateway);
         RC_ASSERT(read->digest.requests_reply);
         RC_ASSERT(read->digest.neighbours[0].at == host(9));
@@ -279,10 +281,10 @@
     }));
 }
 
-TEST_CASE("bytes that are no digest are nothing")
+TEST_CASE("invalid bytes decode to nothing")
 {
     CHECK(rc::check([](std::string const& bytes) {
-        // Whatever it makes of them, it must not read beyond.
+        // The decoders must not read out of bounds, whatever the input.
         proxy::decode_digest(bytes);
         proxy::decode_items(bytes);
     }));
--- a/tests/routing/performance_test.cpp
+++ b/tests/routing/performance_test.cpp
@@ -15,24 +15,24 @@
 
 namespace {
 
-/// Hosts that place urgent streams on the same engines, one of which works
-/// five times slower than the others, and tell each other what they see.
+/// Hosts that place urgent streams on the same engines and exchange their
+/// measurements. One engine is five times slower than the others.
 class slow_engine_load
 {
 public:
-    bool knows_pace = true;
-    bool shares_pace = true;
-    int in_jerks = 0;
-    int smooth = 0;
+    bool uses_measurements = true;
+    bool shares_measurements = true;
+    int with_gaps = 0;
+    int without_gaps = 0;
 
     slow_engine_load()
     {
         for (int number = 0; number < hosts; ++number) {
-            auto made = std::make_unique<host>();
+            auto result = std::make_unique<host>();
             for (int id = 0; id < engines; ++id) {
-                made->directory.put(engine("e" + std::to_string(id)));
+                result->directory.put(engine("e" + std::to_string(id)));
             }
-            m_hosts.push_back(std::move(made));
+            m_hosts.push_back(std::move(result));
         }
         m_chat.latency_target = 500ms;
         m_chat.max_event_gap = 200ms;
@@ -40,7 +40,7 @@
             m_hosts[0]->directory.reservation_order("llm")[0]->description.id;
     }
 
-    void play()
+    void run()
     {
         constexpr model::milliseconds length{6'000};
         constexpr model::milliseconds step{50};
@@ -58,9 +58,9 @@
 private:
     static constexpr int hosts = 8;
     static constexpr int engines = 9;
-    static constexpr model::milliseconds usual_pause{60};
-    static constexpr model::milliseconds slow_pause{300};
-    static constexpr model::milliseconds stay{1'500};
+    static constexpr model::milliseconds normal_gap{60};
+    static constexpr model::milliseconds slow_gap{300};
+    static constexpr model::milliseconds stream_duration{1'500};
 
     struct host
     {
@@ -81,15 +81,15 @@
                 state.others = {};
                 state.others_performance = {};
                 for (auto const& from : m_hosts) {
-                    auto const told =
+                    auto const sender =
                         from->directory.find(state.description.id);
                     if (from == to) {
                         continue;
                     }
-                    state.others.add(told->own);
-                    if (shares_pace) {
+                    state.others.add(sender->own);
+                    if (shares_measurements) {
                         state.others_performance.merge(
-                            told->own_performance.performance(m_now));
+                            sender->own_performance.performance(m_now));
                     }
                 }
             });
@@ -99,29 +99,29 @@
     void place()
     {
         ++m_count;
-        host& by = *m_hosts[m_count % hosts];
-        routing::prompt asked;
-        asked.parts = {{100 + m_count * 7 % 40, 350}, {m_count, 1'100}};
-        asked.tokens = 1'450;
+        host& placing = *m_hosts[m_count % hosts];
+        routing::prompt prompt;
+        prompt.parts = {{100 + m_count * 7 % 40, 350}, {m_count, 1'100}};
+        prompt.tokens = 1'450;
         routing::pick_request request;
         request.route = &m_chat;
-        request.prompt = &asked;
+        request.prompt = &prompt;
         request.service = "llm";
         request.is_most_urgent = true;
-        auto const chosen = by.picker.choose(request, m_now);
+        auto const chosen = placing.picker.choose(request, m_now);
         chosen.to->own.running += 1;
         chosen.to->own.urgent += 1;
-        (chosen.to->description.id == m_slow ? in_jerks : smooth) += 1;
-        m_streams.push_back({chosen.to, m_now + stay});
+        (chosen.to->description.id == m_slow ? with_gaps : without_gaps) += 1;
+        m_streams.push_back({chosen.to, m_now + stream_duration});
     }
 
     void stream()
     {
         for (running_stream const& item : m_streams) {
             bool const is_slow = item.at->description.id == m_slow;
-            if (knows_pace) {
+            if (uses_measurements) {
                 item.at->own_performance.record_gap(
-                    is_slow ? slow_pause : usual_pause, m_now);
+                    is_slow ? slow_gap : normal_gap, m_now);
             }
             if (item.ends <= m_now) {
                 item.at->own.running -= 1;
@@ -144,7 +144,7 @@
 
 } // namespace
 
-TEST_CASE("an engine whose first events come late is slow, until it isn't")
+TEST_CASE("late first events indicate a slow engine until it recovers")
 {
     performance_meter meter;
     CHECK(meter.performance(start).observers == 0);
@@ -158,9 +158,9 @@
     CHECK(meter.performance(start + 1s).slowdown < 1.3);
 }
 
-// An engine turns slow while prompts wait there. Until the first of them is
-// read nothing comes from it, and callers are sent after those that wait.
-TEST_CASE("a request that waits far beyond its forecast tells of slowness")
+// An engine slows down while prompts wait there. No event arrives until the
+// first of them has been read, and further requests would join the queue.
+TEST_CASE("a request that waits far beyond its forecast indicates a slowdown")
 {
     performance_meter meter;
     auto const waiting = meter.begin(start, 300ms);
@@ -170,7 +170,7 @@
     CHECK(meter.performance(start + 1'500ms).observers == 0);
 }
 
-TEST_CASE("what was seen long ago tells nothing")
+TEST_CASE("old measurements expire")
 {
     performance_meter meter;
     meter.end(meter.begin(start, 100ms), start + 800ms);
@@ -181,7 +181,7 @@
     CHECK(meter.performance(start + 10s).longest_gap < 2ms);
 }
 
-TEST_CASE("hosts' views of a pace are averaged, the longest pause counts")
+TEST_CASE("slowdowns of hosts are averaged, and the longest gap is kept")
 {
     upstream_performance all{2.0, 1, 50ms};
     all.merge({4.0, 1, 200ms});
@@ -194,23 +194,23 @@
     CHECK(none.slowdown == doctest::Approx(3.0));
 }
 
-// One of the engines for urgent streams turns five times slower. First events
-// come in time from there all the same, and each host has but an eighth of the
-// streams: what one caller sees must keep the next ones of all hosts away.
-TEST_CASE("hosts that share what they see keep streams off a slow engine")
+// One of the engines reserved for urgent streams becomes five times slower. Its
+// first events still arrive in time, and each host has only an eighth of the
+// streams: the measurements of one host must redirect new streams of all hosts.
+TEST_CASE("hosts that share measurements keep streams off a slow engine")
 {
     slow_engine_load blind;
-    blind.knows_pace = false;
-    blind.play();
+    blind.uses_measurements = false;
+    blind.run();
     slow_engine_load alone;
-    alone.shares_pace = false;
-    alone.play();
+    alone.shares_measurements = false;
+    alone.run();
     slow_engine_load shared;
-    shared.play();
-    CAPTURE(blind.in_jerks);
-    CAPTURE(alone.in_jerks);
-    CAPTURE(shared.in_jerks);
-    CHECK(blind.in_jerks >= 40);
-    CHECK(alone.in_jerks <= blind.in_jerks / 2);
-    CHECK(shared.in_jerks <= alone.in_jerks / 2);
+    shared.run();
+    CAPTURE(blind.with_gaps);
+    CAPTURE(alone.with_gaps);
+    CAPTURE(shared.with_gaps);
+    CHECK(blind.with_gaps >= 40);
+    CHECK(alone.with_gaps <= blind.with_gaps / 2);
+    CHECK(shared.with_gaps <= alone.with_gaps / 2);
 }
