--- a/tests/routing/picker_test.cpp
+++ b/tests/routing/picker_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Engines of one service in two regions, and requests to place on them.
+/// Engines of one service in two regions, and requests for them.
 struct site
 {
     routing::upstream_directory directory{measure};
@@ -78,30 +78,31 @@
     CHECK(used.size() >= 6);
 }
 
-// One engine breaks down. If that moved the prompts of all others, every
-// engine would read everything anew just when one is missing.
-TEST_CASE("an engine that rests moves only its own prompts")
+// One engine fails. If this moved the prompts of all other engines too, every
+// engine would read all prefixes again while one is missing.
+TEST_CASE("an engine that backs off moves only its own prompts")
 {
-    site whole(12);
-    std::map<std::uint64_t, std::string> homes;
+    site healthy(12);
+    std::map<std::uint64_t, std::string> affinity_engines;
     for (std::uint64_t subject = 10; subject < 110; ++subject) {
-        homes[subject] =
-            whole.place(whole.bulk, subject, 4'000, 2'000).to->description.id;
+        affinity_engines[subject] =
+            healthy.place(healthy.bulk, subject, 4'000, 2'000)
+                .to->description.id;
     }
-    site broken(12);
-    std::string const lost = homes.begin()->second;
-    broken.directory.find(lost)->health.record_unreachable(start);
-    for (auto const& [subject, home] : homes) {
-        auto const now = broken.place(broken.bulk, subject, 4'000, 2'000);
+    site degraded(12);
+    std::string const lost = affinity_engines.begin()->second;
+    degraded.directory.find(lost)->health.record_unreachable(start);
+    for (auto const& [subject, affinity] : affinity_engines) {
+        auto const now = degraded.place(degraded.bulk, subject, 4'000, 2'000);
         CHECK(now.to->description.id != lost);
-        if (home != lost) {
-            CHECK(now.to->description.id == home);
+        if (affinity != lost) {
+            CHECK(now.to->description.id == affinity);
         }
     }
 }
 
-// Long prompts stretch the steps of every stream on their engine: a chat
-// beside them pauses, and its caller sees words come in jerks.
+// Long prompts prolong each step of all streams on their engine: a chat on the
+// same engine has long gaps between its events.
 TEST_CASE("chats and long prompts use different engines")
 {
     site calm(12);
@@ -118,40 +119,40 @@
     }
 }
 
-TEST_CASE("a prompt leaves a full home before it is late, for one other")
+TEST_CASE("a prompt leaves a full affinity engine early, for one other engine")
 {
     site full(12);
-    auto const home = full.place(full.bulk, 10, 4'000, 2'000).to;
-    home->others.pending_prefill_tokens = 500'000;
-    auto const away = full.place(full.bulk, 10, 4'000, 2'000);
-    CHECK(away.to != home);
+    auto const affinity = full.place(full.bulk, 10, 4'000, 2'000).to;
+    affinity->others.pending_prefill_tokens = 500'000;
+    auto const other_engine = full.place(full.bulk, 10, 4'000, 2'000);
+    CHECK(other_engine.to != affinity);
     site same(12);
-    same.directory.find(home->description.id)->others.pending_prefill_tokens =
-        500'000;
+    same.directory.find(affinity->description.id)
+        ->others.pending_prefill_tokens = 500'000;
     CHECK(same.place(same.bulk, 10, 4'000, 2'000).to->description.id
-          == away.to->description.id);
+          == other_engine.to->description.id);
 }
 
-TEST_CASE("a little load is no reason to read a prompt anew elsewhere")
+TEST_CASE("a small load does not move a prompt to another engine")
 {
     site calm(12);
-    auto const home = calm.place(calm.bulk, 10, 4'000, 2'000).to;
-    home->own.pending_prefill_tokens = 8'000;
-    CHECK(calm.place(calm.bulk, 10, 4'000, 2'000).to == home);
+    auto const affinity = calm.place(calm.bulk, 10, 4'000, 2'000).to;
+    affinity->own.pending_prefill_tokens = 8'000;
+    CHECK(calm.place(calm.bulk, 10, 4'000, 2'000).to == affinity);
 }
 
-// An engine fails part of its requests while its health check is good.
-TEST_CASE("an engine that fails requests is left for another")
+// An engine fails some requests although its health check passes.
+TEST_CASE("an engine that fails requests is avoided")
 {
     site grey(12);
-    auto const home = grey.place(grey.bulk, 10, 4'000, 2'000).to;
+    auto const affinity = grey.place(grey.bulk, 10, 4'000, 2'000).to;
     for (int failed = 0; failed < 4; ++failed) {
-        home->health.record_failure(start);
+        affinity->health.record_failure(start);
     }
-    CHECK(grey.place(grey.bulk, 10, 4'000, 2'000).to != home);
+    CHECK(grey.place(grey.bulk, 10, 4'000, 2'000).to != affinity);
 }
 
-TEST_CASE("an engine that was left alone is tried again")
+TEST_CASE("an engine is attempted again after its back-off")
 {
     routing::upstream_health health;
     health.record_unreachable(start);
@@ -165,7 +166,7 @@
     CHECK(health.failure_share(start + 60s) < 0.01);
 }
 
-TEST_CASE("an upstream that was tried is not picked again")
+TEST_CASE("an upstream that was attempted is not picked again")
 {
     site small(2);
     auto const first = small.place(small.bulk, 10, 4'000, 2'000);
@@ -177,7 +178,7 @@
     CHECK(!small.place(small.bulk, 10, 4'000, 2'000).to);
 }
 
-TEST_CASE("where all rest, one is picked rather than none")
+TEST_CASE("if all engines back off, one is still picked")
 {
     site dark(3);
     dark.directory.each([](routing::upstream_state& state) {
@@ -186,9 +187,9 @@
     CHECK(dark.place(dark.bulk, 10, 4'000, 2'000).to);
 }
 
-// Chats come in a burst of their own. With as many engines as at rest they
-// would fill these beyond their slots and wait there for seconds, while the
-// engines of long prompts are half idle.
+// A burst consists of chats only. With the number of reserved engines at idle
+// they would exceed the slots and wait for seconds, while the engines for long
+// prompts are half idle.
 TEST_CASE("a burst of chats gets more engines, and none waits for a slot")
 {
     site busy(24);
@@ -202,7 +203,7 @@
         ++running[chosen.to->description.id];
     }
     for (auto const& [id, streams] : running) {
-        // An engine has 64 slots.
+        // Each engine has 64 slots.
         CHECK(streams <= 72);
     }
 }
@@ -226,40 +227,42 @@
     CHECK(bulks.size() == 12);
 }
 
-// Hosts of different regions list the same engines; which of them urgent
-// streams have must not depend on where a host stands.
+// Hosts of different regions know the same engines. The engines reserved for
+// urgent streams must not depend on a host's location.
 TEST_CASE("hosts of all regions agree on the engines of urgent streams")
 {
-    routing::upstream_directory here(measure);
-    routing::upstream_directory there([](std::string const& centre) {
-        return centre == "d" ? routing::distance::same_data_centre
-                             : routing::distance::other_region;
+    routing::upstream_directory local(measure);
+    routing::upstream_directory remote([](std::string const& data_centre) {
+        return data_centre == "d" ? routing::distance::same_data_centre
+                                  : routing::distance::other_region;
     });
     for (int number = 0; number < 20; ++number) {
-        std::string const centre(1, static_cast<char>('a' + number % 4));
-        here.put(engine("e" + std::to_string(number), centre));
-        there.put(
+        std::string const data_centre(1, static_cast<char>('a' + number % 4));
+        local.put(engine("e" + std::to_string(number), data_centre));
+        remote.put(
             engine("e" + std::to_string(19 - number),
                    std::string(1, static_cast<char>('a' + (19 - number) % 4))));
     }
-    auto const& ours = here.reservation_order("llm");
-    auto const& theirs = there.reservation_order("llm");
-    REQUIRE(ours.size() == 20);
-    REQUIRE(theirs.size() == 20);
-    std::set<std::string> first_centres;
-    for (std::size_t place = 0; place < ours.size(); ++place) {
-        CHECK(ours[place]->description.id == theirs[place]->description.id);
-        CHECK(ours[place]->reservation_rank == place);
-        if (place < 4) {
-            first_centres.insert(ours[place]->description.data_centre);
+    auto const& local_order = local.reservation_order("llm");
+    auto const& remote_order = remote.reservation_order("llm");
+    REQUIRE(local_order.size() == 20);
+    REQUIRE(remote_order.size() == 20);
+    std::set<std::string> first_data_centres;
+    for (std::size_t index = 0; index < local_order.size(); ++index) {
+        CHECK(local_order[index]->description.id
+              == remote_order[index]->description.id);
+        CHECK(local_order[index]->reservation_rank == index);
+        if (index < 4) {
+            first_data_centres.insert(
+                local_order[index]->description.data_centre);
         }
     }
-    CHECK(first_centres.size() == 4);
+    CHECK(first_data_centres.size() == 4);
 }
 
-// A burst of long prompts, some subjects far more asked for than others, one
-// engine slow. Callers want their first event in time.
-TEST_CASE("a skewed burst is spread before engines are far behind")
+// A burst of long prompts in which some prefixes have far more requests than
+// others. First events must still be in time.
+TEST_CASE("a skewed burst is spread over engines before they are far behind")
 {
     site busy(12);
     std::map<std::string, std::uint64_t> sent;
@@ -271,12 +274,13 @@
         chosen.to->own.pending_prefill_tokens += work;
         sent[chosen.to->description.id] += work;
     }
-    std::uint64_t most = 0;
+    std::uint64_t max_work = 0;
     for (auto const& [id, work] : sent) {
-        most = std::max(most, work);
+        max_work = std::max(max_work, work);
     }
-    // Seven homes alone would have 70,000 and more each.
-    CHECK(most < 110'000);
+    // With affinity engines only, the seven prefixes would put at least 70,000
+    // tokens on each of their engines.
+    CHECK(max_work < 110'000);
     CHECK(sent.size() >= 7);
 }
 
@@ -297,10 +301,10 @@
     CHECK(picker.choose(request, start).to->description.id == "far");
 }
 
-// The engine of urgent streams nearby turns slow. Its first events still come
-// in time, but words come in jerks to all who are sent there, while another
-// engine runs at full speed.
-TEST_CASE("urgent streams leave an engine whose streams pause")
+// A near engine reserved for urgent streams slows down. Its first events are
+// still in time, but its streams have long gaps, while another engine runs at
+// full speed.
+TEST_CASE("urgent streams avoid an engine with long event gaps")
 {
     site slow(12);
     auto const usual = slow.place(slow.chat, 10, 60, 500).to;
@@ -315,16 +319,16 @@
           == usual->description.id);
 }
 
-// An engine comes back and the order of engines for urgent streams changes.
-// Streams still run on the one that left it; prompts that came at once would
-// make all of them pause.
-TEST_CASE("prompts wait until the urgent streams of an engine have ended")
+// An engine returns and the reservation order changes. Urgent streams still run
+// on the engine that is no longer reserved; prompts sent there at once would
+// cause long gaps in all of them.
+TEST_CASE("prompts avoid an engine until its urgent streams have ended")
 {
     site calm(12);
-    auto const home = calm.place(calm.bulk, 10, 4'000, 2'000).to;
-    home->others.urgent = 25;
-    auto const away = calm.place(calm.bulk, 10, 4'000, 2'000).to;
-    CHECK(away != home);
-    home->others.urgent = 2;
-    CHECK(calm.place(calm.bulk, 10, 4'000, 2'000).to == home);
+    auto const affinity = calm.place(calm.bulk, 10, 4'000, 2'000).to;
+    affinity->others.urgent = 25;
+    auto const other_engine = calm.place(calm.bulk, 10, 4'000, 2'000).to;
+    CHECK(other_engine != affinity);
+    affinity->others.urgent = 2;
+    CHECK(calm.place(calm.bulk, 10, 4'000, 2'000).to == affinity);
 }
--- a/tests/routing/route_table_test.cpp
+++ b/tests/routing/route_table_test.cpp
@@ -10,10 +10,10 @@
 
 TEST_CASE("the longest prefix that begins the path is chosen")
 {
-    routing::configuration lists;
-    lists.routes = {make_route("/a/", request_kind::idempotent),
-                    make_route("/a/b/", request_kind::idempotent)};
-    routing::route_table const table(lists);
+    routing::configuration config;
+    config.routes = {make_route("/a/", request_kind::idempotent),
+                     make_route("/a/b/", request_kind::idempotent)};
+    routing::route_table const table(config);
     REQUIRE(table.match("desk.example", "/a/b/c") != nullptr);
     CHECK(table.match("desk.example", "/a/b/c")->prefix == "/a/b/");
     CHECK(table.match("desk.example", "/a/x")->prefix == "/a/");
@@ -25,24 +25,25 @@
 {
     routing::route split = make_route("/a/", request_kind::idempotent);
     split.split = {{"old", 90}, {"new", 10}};
-    std::map<std::string, int> taken;
+    std::map<std::string, int> counts;
     for (std::uint64_t random_value = 0; random_value < 1'000; ++random_value) {
-        ++taken[routing::route_table::pick_service(split, random_value)];
+        ++counts[routing::route_table::pick_service(split, random_value)];
     }
-    CHECK(taken["old"] == 900);
-    CHECK(taken["new"] == 100);
+    CHECK(counts["old"] == 900);
+    CHECK(counts["new"] == 100);
 }
 
-// A chat and a long prompt of one team reach the same engine. With equal
-// urgency the engine takes memory from the chat that came last, and its
-// caller sees the answer stop in the middle of a word.
+// A chat and a long prompt of one team are sent to the same engine. With equal
+// urgency the engine preempts the chat, which arrived last, and its caller sees
+// the answer stop in the middle of a word.
 TEST_CASE("a route's rank decides before the team's")
 {
-    routing::configuration lists;
-    lists.routes = {make_route("/chat/", request_kind::stream, 0),
-                    make_route("/long/", request_kind::stream, 2)};
-    lists.teams = {{"high", {"k1"}, 0U}, {"low", {"k2"}, 1U}, {"none", {}, {}}};
-    routing::route_table const table(lists);
+    routing::configuration config;
+    config.routes = {make_route("/chat/", request_kind::stream, 0),
+                     make_route("/long/", request_kind::stream, 2)};
+    config.teams = {
+        {"high", {"k1"}, 0U}, {"low", {"k2"}, 1U}, {"none", {}, {}}};
+    routing::route_table const table(config);
     auto const& chat = table.config().routes[0];
     auto const& bulk = table.config().routes[1];
     auto const& high = table.config().teams[0];
@@ -53,15 +54,15 @@
     CHECK(table.urgency(bulk, &low) <= routing::route_table::least_urgent);
 }
 
-TEST_CASE("more pairs of ranks than an engine has keep their order")
+TEST_CASE("more rank pairs than urgency levels keep their order")
 {
-    routing::configuration lists;
+    routing::configuration config;
     for (std::uint32_t rank = 0; rank < 5; ++rank) {
-        lists.routes.push_back(make_route(
+        config.routes.push_back(make_route(
             "/" + std::to_string(rank) + "/", request_kind::stream, rank));
-        lists.teams.push_back({std::to_string(rank), {}, rank});
+        config.teams.push_back({std::to_string(rank), {}, rank});
     }
-    routing::route_table const table(lists);
+    routing::route_table const table(config);
     std::uint32_t before = 0;
     for (auto const& route : table.config().routes) {
         for (auto const& team : table.config().teams) {
--- a/tests/routing/support.hpp
+++ b/tests/routing/support.hpp
@@ -11,24 +11,24 @@
 
 using namespace std::chrono_literals;
 
-/// An hour past the epoch, so that it differs from every default.
+/// One hour after the epoch: differs from every default.
 inline model::time_point const start{std::chrono::hours(1)};
 
 inline routing::upstream engine(std::string const& id,
                                 std::string const& data_centre = "a",
                                 std::string const& service = "llm")
 {
-    routing::upstream made;
-    made.id = id;
-    made.service = service;
-    made.at = {"127.0.0.1", 9'000};
-    made.data_centre = data_centre;
-    made.slots = 64;
-    made.started = 1;
-    return made;
+    routing::upstream result;
+    result.id = id;
+    result.service = service;
+    result.at = {"127.0.0.1", 9'000};
+    result.data_centre = data_centre;
+    result.slots = 64;
+    result.started = 1;
+    return result;
 }
 
-/// Data centres a and b stand in one region, c in another; this host in a.
+/// Data centres a and b are in one region, c in another; this host is in a.
 inline routing::distance measure(std::string const& data_centre)
 {
     if (data_centre == "a") {
@@ -42,15 +42,15 @@
                                  routing::request_kind kind,
                                  std::uint32_t rank = 1)
 {
-    routing::route made;
-    made.name = prefix;
-    made.authority = "desk.example";
-    made.prefix = prefix;
-    made.kind = kind;
-    made.rank = rank;
-    made.has_prompt_affinity = kind == routing::request_kind::stream;
-    made.split = {{"llm", 1}};
-    return made;
+    routing::route result;
+    result.name = prefix;
+    result.authority = "desk.example";
+    result.prefix = prefix;
+    result.kind = kind;
+    result.rank = rank;
+    result.has_prompt_affinity = kind == routing::request_kind::stream;
+    result.split = {{"llm", 1}};
+    return result;
 }
 
 } // namespace caperjunction::test
--- a/tests/routing/upstream_limit_test.cpp
+++ b/tests/routing/upstream_limit_test.cpp
@@ -21,8 +21,8 @@
 model::time_point const start{std::chrono::hours(1)};
 constexpr model::milliseconds window{4'000};
 
-/// Hosts that share an upstream's limit; each has a request for it at all
-/// times, but for those before `idle_for`.
+/// Hosts that share an upstream's limit. Each one has a request for it at any
+/// time within `run`.
 struct fleet
 {
     std::vector<upstream_limit> hosts;
@@ -32,11 +32,11 @@
         : hosts(count)
     {
         for (std::size_t rank = 0; rank < count; ++rank) {
-            limit_share place{rank, count, true, count};
-            place.phase =
+            limit_share share{rank, count, true, count};
+            share.phase =
                 static_cast<double>(rank) / static_cast<double>(count);
             hosts[rank].update({requests_per_second, start});
-            hosts[rank].set_share(place);
+            hosts[rank].set_share(share);
         }
     }
 
@@ -52,20 +52,21 @@
         }
     }
 
-    std::size_t most_in_a_window() const
+    std::size_t max_in_window() const
     {
-        std::size_t most = 0;
+        std::size_t max_count = 0;
         for (std::size_t first = 0; first < sent.size(); ++first) {
             auto const after = std::upper_bound(
                 sent.begin(), sent.end(), sent[first] + window);
-            most = std::max(
-                most, static_cast<std::size_t>(after - sent.begin()) - first);
+            max_count = std::max(max_count,
+                                 static_cast<std::size_t>(after - sent.begin())
+                                     - first);
         }
-        return most;
+        return max_count;
     }
 };
 
-/// What an upstream that names `a_second` may get in a window.
+/// Returns the requests that an upstream with this limit may get in a window.
 double allowed(double requests_per_second)
 {
     return 1.5 * requests_per_second * model::seconds(window).count() + 5.0;
@@ -73,9 +74,9 @@
 
 } // namespace
 
-// Seven hosts that each take the limit for their own send seven times as much,
-// and the upstream that asked for less falls over.
-TEST_CASE("a fleet keeps an upstream's limit, from the first moment on")
+// If each of seven hosts uses the whole limit, an overloaded upstream gets
+// seven times as many requests and fails.
+TEST_CASE("a fleet respects an upstream's limit from the first moment")
 {
     for (std::size_t const count : {1, 3, 7, 12, 70}) {
         for (double const requests_per_second :
@@ -84,16 +85,17 @@
             CAPTURE(requests_per_second);
             fleet busy(count, requests_per_second);
             busy.run(0s, 60s);
-            CHECK(busy.most_in_a_window() <= allowed(requests_per_second));
+            CHECK(busy.max_in_window() <= allowed(requests_per_second));
             fleet idle(count, requests_per_second);
             idle.run(8s, 14s);
-            CHECK(idle.most_in_a_window() <= allowed(requests_per_second));
+            CHECK(idle.max_in_window() <= allowed(requests_per_second));
         }
     }
 }
 
-// An upstream that takes two requests a second and gets none is a server lost.
-TEST_CASE("most of what a limited upstream takes is sent")
+// An upstream that accepts two requests per second and gets none is lost
+// capacity.
+TEST_CASE("most of a limited upstream's capacity is used")
 {
     for (std::size_t const count : {1, 7, 12, 70}) {
         for (double const requests_per_second : {0.5, 1.6, 5.0}) {
@@ -107,33 +109,33 @@
     }
 }
 
-// The hosts that share the limit may be gone, and nobody would ever hear that
-// it has ended.
-TEST_CASE("an upstream whose limit nobody hears of is tried again, by few")
+// The hosts that share the limit may all be gone. Without probes the other
+// hosts would never learn that the limit has ended.
+TEST_CASE("an upstream with a stale limit is probed at a low rate")
 {
     for (double const requests_per_second : {0.0, 1.6}) {
-        fleet others(70, requests_per_second);
-        for (upstream_limit& host : others.hosts) {
-            limit_share place = host.share();
-            place.participates = false;
-            host.set_share(place);
+        fleet outsiders(70, requests_per_second);
+        for (upstream_limit& host : outsiders.hosts) {
+            limit_share share = host.share();
+            share.participates = false;
+            host.set_share(share);
         }
-        others.run(0s, 15s);
-        CHECK(others.sent.empty());
-        others.run(15s, 60s);
-        CHECK(!others.sent.empty());
-        CHECK(others.most_in_a_window() <= allowed(requests_per_second));
+        outsiders.run(0s, 15s);
+        CHECK(outsiders.sent.empty());
+        outsiders.run(15s, 60s);
+        CHECK(!outsiders.sent.empty());
+        CHECK(outsiders.max_in_window() <= allowed(requests_per_second));
     }
 }
 
-TEST_CASE("the newest word of an upstream holds, whoever heard it")
+TEST_CASE("the newest notice of an upstream applies, whoever received it")
 {
     upstream_limit limit;
     CHECK(!limit.is_limited());
     CHECK(limit.may_send(start));
     CHECK(limit.update({1.0, start}));
     CHECK(!limit.update({2.0, start + 1s}));
-    // Older: from a host that heard it before.
+    // Older: from a host that received it before.
     CHECK(!limit.update({std::nullopt, start + 500ms}));
     CHECK(limit.is_limited());
     CHECK(*limit.notice().requests_per_second == 2.0);
@@ -150,7 +152,7 @@
 
 } // namespace
 
-TEST_CASE("hosts that hear each other have places of their own")
+TEST_CASE("hosts that exchange digests have distinct ranks")
 {
     constexpr int count = 7;
     constexpr std::uint32_t engine = 99;
@@ -159,17 +161,17 @@
         routing::peer_table table(at(own), 1, {});
         for (int other = 0; other < count; ++other) {
             if (other != own) {
-                routing::peer_digest told;
-                told.generation = 1;
-                told.sequence = 1;
-                told.data_centre = 1 + other % 3;
-                table.record_digest(at(other), told, start);
+                routing::peer_digest digest;
+                digest.generation = 1;
+                digest.sequence = 1;
+                digest.data_centre = 1 + other % 3;
+                table.record_digest(at(other), digest, start);
             }
         }
-        auto const place = table.limit_share_for(engine, own % 3 == 0);
-        CHECK(place.hosts == count);
-        CHECK(place.participates);
-        ranks.push_back(place.rank);
+        auto const share = table.limit_share_for(engine, own % 3 == 0);
+        CHECK(share.hosts == count);
+        CHECK(share.participates);
+        ranks.push_back(share.rank);
     }
     std::sort(ranks.begin(), ranks.end());
     for (std::size_t rank = 0; rank < ranks.size(); ++rank) {
@@ -177,61 +179,61 @@
     }
 }
 
-// Told by one host, a limit keeps the others from sending before they have
-// seen an answer themselves; its end lets them send again.
-TEST_CASE("a host learns of a limit and of its end from the others")
+// A limit received from another host takes effect before this host has seen an
+// answer of its own; its end allows requests again.
+TEST_CASE("a host learns of a limit and its end from other hosts")
 {
     routing::peer_table table(at(0), 1, {});
-    routing::peer_digest told;
-    told.generation = 1;
-    told.data_centre = 1;
-    told.sequence = 1;
-    told.limits = {{7, 1.5, 200ms}};
-    table.record_digest(at(1), told, start);
-    told.limits = {{7, std::nullopt, 100ms}};
-    table.record_digest(at(2), told, start);
+    routing::peer_digest digest;
+    digest.generation = 1;
+    digest.data_centre = 1;
+    digest.sequence = 1;
+    digest.limits = {{7, 1.5, 200ms}};
+    table.record_digest(at(1), digest, start);
+    digest.limits = {{7, std::nullopt, 100ms}};
+    table.record_digest(at(2), digest, start);
     table.aggregate();
     REQUIRE(table.limit_of(7));
     CHECK(!table.limit_of(7)->requests_per_second);
     CHECK(table.limit_of(7)->received_at == start - 100ms);
-    told.sequence = 2;
-    told.limits = {{7, 1.2, 0ms}};
-    table.record_digest(at(1), told, start + 1s);
+    digest.sequence = 2;
+    digest.limits = {{7, 1.2, 0ms}};
+    table.record_digest(at(1), digest, start + 1s);
     table.aggregate();
     CHECK(table.limit_of(7)->requests_per_second == 1.2);
     CHECK(!table.limit_of(8));
 }
 
-TEST_CASE("limits cross between data centres")
+TEST_CASE("limits are exchanged between data centres")
 {
-    constexpr int hosts_of_one = 8;
-    // This host speaks for centre 1 if no other of it ranks before.
+    constexpr int hosts_per_data_centre = 8;
+    // This host aggregates data centre 1 if no other host of it ranks before.
     std::vector<routing::peer_digest> aggregated_loads;
-    for (int own = 0; own < hosts_of_one; ++own) {
+    for (int own = 0; own < hosts_per_data_centre; ++own) {
         routing::peer_table table(at(own), 1, {});
-        for (int other = 0; other < 2 * hosts_of_one; ++other) {
+        for (int other = 0; other < 2 * hosts_per_data_centre; ++other) {
             if (other == own) {
                 continue;
             }
-            routing::peer_digest told;
-            told.generation = 1;
-            told.sequence = 1;
-            told.data_centre = other < hosts_of_one ? 1 : 2;
-            told.is_aggregator = other == hosts_of_one;
-            if (other == (own + 1) % hosts_of_one) {
-                told.limits = {{7, 1.5, 200ms}};
+            routing::peer_digest digest;
+            digest.generation = 1;
+            digest.sequence = 1;
+            digest.data_centre = other < hosts_per_data_centre ? 1 : 2;
+            digest.is_aggregator = other == hosts_per_data_centre;
+            if (other == (own + 1) % hosts_per_data_centre) {
+                digest.limits = {{7, 1.5, 200ms}};
             }
-            if (told.is_aggregator) {
-                told.limits = {{8, 2.5, 300ms}};
+            if (digest.is_aggregator) {
+                digest.limits = {{8, 2.5, 300ms}};
             }
-            table.record_digest(at(other), told, start);
+            table.record_digest(at(other), digest, start);
         }
         if (table.is_aggregator()) {
-            auto const news = table.make_digests({});
-            aggregated_loads.push_back(news.aggregated_loads);
-            REQUIRE(news.loads.limits.size() == 1);
-            CHECK(news.loads.limits[0].upstream == 8);
-            CHECK(news.loads.limits[0].age == 300ms);
+            auto const digests = table.make_digests({});
+            aggregated_loads.push_back(digests.aggregated_loads);
+            REQUIRE(digests.loads.limits.size() == 1);
+            CHECK(digests.loads.limits[0].upstream == 8);
+            CHECK(digests.loads.limits[0].age == 300ms);
         }
     }
     REQUIRE(aggregated_loads.size() == 1);
