--- a/tests/routing/fleet_gossip_test.cpp
+++ b/tests/routing/fleet_gossip_test.cpp
@@ -74,11 +74,12 @@
                         host.table.neighbours_for(to.at, 16, m_random += 7);
                 }
                 ++sent;
-                sent_far += to.at == host.self
-                                    || data_centre_of(to.at) == host.data_centre
-                                ? 0
-                                : 1;
-                most_suspects = std::max(most_suspects, digest.suspects.size());
+                sent_remote +=
+                    to.at == host.self
+                            || data_centre_of(to.at) == host.data_centre
+                        ? 0
+                        : 1;
+                max_suspects = std::max(max_suspects, digest.suspects.size());
                 deliver(host.self, to.at, digest);
             }
         }
@@ -119,8 +120,8 @@
     bool has_load_change = false;
     std::size_t sent = 0;
     /// Digests sent to other data centres.
-    std::size_t sent_far = 0;
-    std::size_t most_suspects = 0;
+    std::size_t sent_remote = 0;
+    std::size_t max_suspects = 0;
 
 private:
     std::uint64_t data_centre_of(model::endpoint const& address) const
@@ -151,7 +152,7 @@
 
 } // namespace
 
-// A defect that this guards against: each host sent the addresses of the same
+// Guards against a past defect: each host sent the addresses of the same
 // sixteen hosts, the first by address. In a fleet of 71 most hosts never
 // received their neighbours' digests. Engines appeared to have a third of their
 // load, and callers waited in queues that no host knew of.
@@ -260,7 +261,7 @@
         return list;
     };
     fleet.rounds(5);
-    CHECK(fleet.most_suspects <= 100);
+    CHECK(fleet.max_suspects <= 100);
 }
 
 // One request crashes the engines that run it, and its caller sends it to
@@ -332,15 +333,15 @@
     constexpr int rounds_of_ten_seconds = 50;
     gossip fleet(hosts, 3);
     fleet.rounds(30);
-    fleet.sent_far = 0;
+    fleet.sent_remote = 0;
     fleet.rounds(rounds_of_ten_seconds);
     // 42 pairs of 8 hosts in 3 data centres are in different data centres.
-    CHECK(fleet.sent_far <= std::size_t{42} * 13);
-    CHECK(fleet.sent_far >= std::size_t{42} * 12);
+    CHECK(fleet.sent_remote <= std::size_t{42} * 13);
+    CHECK(fleet.sent_remote >= std::size_t{42} * 12);
     fleet.has_load_change = true;
-    fleet.sent_far = 0;
+    fleet.sent_remote = 0;
     fleet.round();
-    CHECK(fleet.sent_far == 42);
+    CHECK(fleet.sent_remote == 42);
 }
 
 // The revision of the store increases all the time. If it were sent at once,
--- a/tests/routing/upstream_limit_test.cpp
+++ b/tests/routing/upstream_limit_test.cpp
@@ -208,7 +208,7 @@
 {
     constexpr int hosts_per_data_centre = 8;
     // This host aggregates data centre 1 if no other host of it ranks before.
-    std::vector<routing::peer_digest> aggregated_loads;
+    std::vector<routing::peer_digest> aggregator_digests;
     for (int own = 0; own < hosts_per_data_centre; ++own) {
         routing::peer_table table(at(own), 1, {});
         for (int other = 0; other < 2 * hosts_per_data_centre; ++other) {
@@ -230,13 +230,13 @@
         }
         if (table.is_aggregator()) {
             auto const digests = table.make_digests({});
-            aggregated_loads.push_back(digests.aggregated_loads);
+            aggregator_digests.push_back(digests.aggregated_loads);
             REQUIRE(digests.loads.limits.size() == 1);
             CHECK(digests.loads.limits[0].upstream == 8);
             CHECK(digests.loads.limits[0].age == 300ms);
         }
     }
-    REQUIRE(aggregated_loads.size() == 1);
-    REQUIRE(aggregated_loads[0].limits.size() == 1);
-    CHECK(aggregated_loads[0].limits[0].upstream == 7);
+    REQUIRE(aggregator_digests.size() == 1);
+    REQUIRE(aggregator_digests[0].limits.size() == 1);
+    CHECK(aggregator_digests[0].limits[0].upstream == 7);
 }
