--- a/src/proxy/digest_codec.cpp
+++ b/src/proxy/digest_codec.cpp
@@ -41,67 +41,67 @@
     return {{text, from.port()}, from.data_centre(), from.relays()};
 }
 
-constexpr double parts_a_second = 1'000.0;
+constexpr double limit_scale = 1'000.0;
 constexpr std::uint32_t no_limit = std::numeric_limits<std::uint32_t>::max();
 
 wire::Limit to_wire(routing::advertised_limit const& from)
 {
-    std::uint32_t parts = no_limit;
+    std::uint32_t scaled = no_limit;
     if (from.requests_per_second) {
-        parts = static_cast<std::uint32_t>(std::min(
-            *from.requests_per_second * parts_a_second, no_limit - 1.0));
+        scaled = static_cast<std::uint32_t>(
+            std::min(*from.requests_per_second * limit_scale, no_limit - 1.0));
     }
     auto const age = std::clamp<std::int64_t>(from.age.count(), 0, no_limit);
-    return {from.upstream, parts, static_cast<std::uint32_t>(age)};
+    return {from.upstream, scaled, static_cast<std::uint32_t>(age)};
 }
 
 routing::advertised_limit from_wire(wire::Limit const& from)
 {
-    routing::advertised_limit made;
-    made.upstream = from.upstream();
-    made.age = model::milliseconds(from.age_ms());
+    routing::advertised_limit result;
+    result.upstream = from.upstream();
+    result.age = model::milliseconds(from.age_ms());
     if (from.millis_a_second() != no_limit) {
-        made.requests_per_second = from.millis_a_second() / parts_a_second;
+        result.requests_per_second = from.millis_a_second() / limit_scale;
     }
-    return made;
+    return result;
 }
 
 using load_list = flatbuffers::Vector<wire::Work const*>;
 
-/// Parts of a whole slowness in a message.
-constexpr double slowness_parts = 64.0;
+/// Units per 1.0 of a slowdown factor in a message.
+constexpr double slowdown_scale = 64.0;
 
 std::uint16_t bounded(double value)
 {
-    constexpr double most = std::numeric_limits<std::uint16_t>::max();
-    return static_cast<std::uint16_t>(std::clamp(value, 0.0, most));
+    constexpr double max_value = std::numeric_limits<std::uint16_t>::max();
+    return static_cast<std::uint16_t>(std::clamp(value, 0.0, max_value));
 }
 
 wire::Work to_wire(routing::peer_load const& from)
 {
-    double const slowness =
+    double const slowdown =
         from.performance.observers == 0
             ? 0.0
-            : std::max(1.0, from.performance.slowdown * slowness_parts);
+            : std::max(1.0, from.performance.slowdown * slowdown_scale);
     return {from.upstream,
             static_cast<std::uint32_t>(from.load.pending_prefill_tokens),
             bounded(from.load.running),
             bounded(from.load.urgent),
-            bounded(slowness),
+            bounded(slowdown),
             bounded(static_cast<double>(from.performance.longest_gap.count()))};
 }
 
 routing::peer_load from_wire(wire::Work const& from)
 {
-    routing::peer_load made;
-    made.upstream = from.upstream();
-    made.load = {from.running(), from.unread_tokens(), from.urgent()};
-    made.performance.observers = from.slowness() == 0 ? 0 : 1;
-    made.performance.slowdown = made.performance.observers == 0
-                                    ? 1.0
-                                    : from.slowness() / slowness_parts;
-    made.performance.longest_gap = model::milliseconds(from.pause_ms());
-    return made;
+    routing::peer_load result;
+    result.upstream = from.upstream();
+    result.load = {from.running(), from.unread_tokens(), from.urgent()};
+    result.performance.observers = from.slowness() == 0 ? 0 : 1;
+    result.performance.slowdown = result.performance.observers == 0
+                                      ? 1.0
+                                      : from.slowness() / slowdown_scale;
+    result.performance.longest_gap = model::milliseconds(from.pause_ms());
+    return result;
 }
 
 flatbuffers::Offset<load_list>
@@ -147,47 +147,48 @@
     flatbuffers::FlatBufferBuilder builder;
     auto const limit_list = builder.CreateVectorOfStructs(limits);
     auto const load_list = to_wire(builder, from.loads);
-    auto const sum_list = to_wire(builder, from.aggregated_loads);
-    auto const beyond_list = to_wire(builder, from.remote_loads);
+    auto const aggregated_list = to_wire(builder, from.aggregated_loads);
+    auto const remote_list = to_wire(builder, from.remote_loads);
     auto const suspect_list = builder.CreateVectorOfStructs(suspects);
     auto const neighbour_list = builder.CreateVectorOfStructs(neighbours);
-    wire::DigestBuilder made(builder);
-    made.add_generation(from.generation);
-    made.add_sequence(from.sequence);
-    made.add_stamp(micros_of(frame.stamp));
+    wire::DigestBuilder result(builder);
+    result.add_generation(from.generation);
+    result.add_sequence(from.sequence);
+    result.add_stamp(micros_of(frame.stamp));
     if (frame.echoed) {
-        made.add_echoed_stamp(micros_of(*frame.echoed));
-        made.add_echo_held_us(
+        result.add_echoed_stamp(micros_of(*frame.echoed));
+        result.add_echo_held_us(
             static_cast<std::uint32_t>(frame.echo_held.count()));
     }
 
     if (frame.confirmed_age) {
-        made.add_has_confirmed(true);
-        made.add_confirmed_age_us(
+        result.add_has_confirmed(true);
+        result.add_confirmed_age_us(
             static_cast<std::uint64_t>(frame.confirmed_age->count()));
     }
-    made.add_hosts_seen(from.hosts_seen);
-    made.add_works(load_list);
-    made.add_suspects(suspect_list);
-    made.add_neighbours(neighbour_list);
-    made.add_hosts_here(from.hosts_in_data_centre);
-    made.add_hosts_alive(from.hosts_alive);
-    made.add_centres(from.data_centres);
-    made.add_relays(from.is_gateway);
-    made.add_asks(from.requests_reply);
-    // Earlier versions take it for all changes, and confirm keys by it.
-    made.add_revision(std::max({from.revisions.upstreams,
-                                from.revisions.configuration,
-                                from.revisions.checked}));
-    made.add_upstreams_revision(from.revisions.upstreams);
-    made.add_configuration_revision(from.revisions.configuration);
-    made.add_configuration_checked(from.revisions.checked);
-    made.add_data_centre(from.data_centre);
-    made.add_speaks(from.is_aggregator);
-    made.add_limits(limit_list);
-    made.add_work_sums(sum_list);
-    made.add_works_beyond(beyond_list);
-    builder.Finish(made.Finish());
+    result.add_hosts_seen(from.hosts_seen);
+    result.add_works(load_list);
+    result.add_suspects(suspect_list);
+    result.add_neighbours(neighbour_list);
+    result.add_hosts_here(from.hosts_in_data_centre);
+    result.add_hosts_alive(from.hosts_alive);
+    result.add_centres(from.data_centres);
+    result.add_relays(from.is_gateway);
+    result.add_asks(from.requests_reply);
+    // Hosts of earlier versions use this field as the revision of all changes,
+    // and confirm keys by it.
+    result.add_revision(std::max({from.revisions.upstreams,
+                                  from.revisions.configuration,
+                                  from.revisions.checked}));
+    result.add_upstreams_revision(from.revisions.upstreams);
+    result.add_configuration_revision(from.revisions.configuration);
+    result.add_configuration_checked(from.revisions.checked);
+    result.add_data_centre(from.data_centre);
+    result.add_speaks(from.is_aggregator);
+    result.add_limits(limit_list);
+    result.add_work_sums(aggregated_list);
+    result.add_works_beyond(remote_list);
+    builder.Finish(result.Finish());
     return text_of(builder);
 }
 
--- a/src/proxy/exchange_place.cpp
+++ b/src/proxy/exchange_place.cpp
@@ -10,19 +10,19 @@
 {
     routing::pick_request request;
     request.route = m_route;
-    request.prompt = &m_facts.prompt;
+    request.prompt = &m_metadata.prompt;
     request.service = m_service;
     request.body_bytes = m_body.size();
-    request.attempted = &m_tried;
+    request.attempted = &m_attempted;
 
     request.is_most_urgent = m_is_most_urgent;
     request.urgent_streams = m_context.fleet_urgent_streams(m_service);
     return request;
 }
 
-// Silence isn't failure: the present upstream may still answer, and is left
-// only for one that can.
-bool exchange::has_other_place()
+// A silent upstream may still answer. It is abandoned only if another one can
+// answer in time.
+bool exchange::has_alternative()
 {
     auto const other =
         m_context.picker.choose(pick_request(), m_context.loop.now());
@@ -40,13 +40,15 @@
     return chosen;
 }
 
-// The same path, caller and body come again under a new id.
+// Identifies a request by path, key and body: a caller repeats a request under
+// a new id.
 std::uint64_t exchange::fingerprint()
 {
     if (m_fingerprint == 0) {
-        m_fingerprint = XXH3_64bits(m_body.data(), m_body.size())
-                        ^ XXH3_64bits(m_facts.path.data(), m_facts.path.size())
-                        ^ XXH3_64bits(m_facts.key.data(), m_facts.key.size());
+        m_fingerprint =
+            XXH3_64bits(m_body.data(), m_body.size())
+            ^ XXH3_64bits(m_metadata.path.data(), m_metadata.path.size())
+            ^ XXH3_64bits(m_metadata.key.data(), m_metadata.key.size());
     }
     return m_fingerprint;
 }
@@ -61,17 +63,17 @@
            >= routing::crash_suspects::max_crashes;
 }
 
-std::optional<model::milliseconds> exchange::comes_back_after() const
+std::optional<model::milliseconds> exchange::overload_retry_after() const
 {
-    if (m_facts.prompt.tokens == 0) {
+    if (m_metadata.prompt.tokens == 0) {
         return std::nullopt;
     }
-    routing::overload_inputs facts;
-    facts.forecast = m_pick.forecast;
-    facts.target = m_route->latency_target;
-    facts.is_most_urgent = m_is_most_urgent;
-    facts.is_least_urgent = m_is_least_urgent;
-    return routing::overload_retry_after(facts);
+    routing::overload_inputs inputs;
+    inputs.forecast = m_pick.forecast;
+    inputs.target = m_route->latency_target;
+    inputs.is_most_urgent = m_is_most_urgent;
+    inputs.is_least_urgent = m_is_least_urgent;
+    return routing::overload_retry_after(inputs);
 }
 
 void exchange::place()
@@ -82,16 +84,17 @@
         return;
     }
     if (m_pick.forecast > time_left() && !may_have_run()) {
-        refuse(step::too_late);
+        refuse(reason_code::too_late);
         return;
     }
-    auto const comes_back = comes_back_after();
-    if (comes_back && !may_have_run()) {
-        refuse(step::too_late, comes_back);
+    auto const retry_after = overload_retry_after();
+    if (retry_after && !may_have_run()) {
+        refuse(reason_code::too_late, retry_after);
         return;
     }
     if (is_quarantined()) {
-        refuse(may_have_run() ? step::upstream_failed : step::quarantined);
+        refuse(may_have_run() ? reason_code::upstream_failed
+                              : reason_code::quarantined);
         return;
     }
     send_to(m_pick);
@@ -100,14 +103,14 @@
 void exchange::refuse_unplaced()
 {
     if (may_have_run()) {
-        refuse(step::upstream_failed);
+        refuse(reason_code::upstream_failed);
         return;
     }
     if (m_pick.limited == 0) {
-        refuse(step::no_upstream);
+        refuse(reason_code::no_upstream);
         return;
     }
-    refuse(step::limited, m_pick.retry_after);
+    refuse(reason_code::limited, m_pick.retry_after);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/exchange_send.cpp
+++ b/src/proxy/exchange_send.cpp
@@ -10,30 +10,32 @@
 
 using routing::attempt_end;
 
-/// A try of a plain request that has been silent for this many latency
-/// targets is tried elsewhere: it is late already, and an upstream that
-/// swallows requests would hold it until the caller gives up.
-constexpr int targets_of_silence = 1;
-/// Streams wait for a place among others; only a multiple of the target
-/// tells silence from a queue.
-constexpr int targets_of_stream_silence = 2;
+/// A non-streaming attempt without an answer after this many latency targets is
+/// retried elsewhere. It is already late, and an upstream that dropped the
+/// request would otherwise hold it until the caller's deadline.
+constexpr int silence_targets = 1;
+/// Streams are queued at the engine; only a multiple of the target
+/// distinguishes silence from queueing.
+constexpr int stream_silence_targets = 2;
 
 } // namespace
 
 model::milliseconds exchange::time_left() const
 {
     return std::chrono::duration_cast<model::milliseconds>(
-        m_give_up - m_context.loop.now());
+        m_deadline - m_context.loop.now());
 }
 
-// A key may have been taken away since the request came. How old the belief
-// was then decided whether it was admitted; that doesn't change.
-bool exchange::is_still_allowed()
+// A key may have been revoked since the request arrived. The age of the
+// configuration is not checked again: it was decided at admission.
+bool exchange::is_still_admitted()
 {
-    auto const admitted = routing::admit(
-        m_context.table.get(),
-        m_context.keys,
-        {m_facts.authority, m_facts.path, m_facts.key, m_arrived_boot});
+    auto const admitted = routing::admit(m_context.table.get(),
+                                         m_context.keys,
+                                         {m_metadata.authority,
+                                          m_metadata.path,
+                                          m_metadata.key,
+                                          m_arrived_boot});
     return !admitted.refused
            || *admitted.refused == routing::refusal_reason::no_route;
 }
@@ -41,25 +43,26 @@
 void exchange::send_to(routing::pick const& chosen)
 {
     m_upstream = chosen.to;
-    m_tried.push_back(m_upstream->description.id);
+    m_attempted.push_back(m_upstream->description.id);
     m_connection = m_context.pool.acquire(m_upstream);
     m_sent_at = m_context.loop.now();
-    m_unread_tokens = m_facts.prompt.tokens
-                      - std::min(m_facts.prompt.tokens,
-                                 m_facts.prompt.shared_tokens()
-                                     - std::min(m_facts.prompt.shared_tokens(),
-                                                chosen.uncached_tokens));
+    m_pending_prefill_tokens =
+        m_metadata.prompt.tokens
+        - std::min(m_metadata.prompt.tokens,
+                   m_metadata.prompt.shared_tokens()
+                       - std::min(m_metadata.prompt.shared_tokens(),
+                                  chosen.uncached_tokens));
     m_upstream->limit.record_send(m_sent_at);
     m_upstream->own.running += 1;
     m_upstream->own.urgent += m_is_most_urgent ? 1 : 0;
-    m_waiting =
+    m_performance_ticket =
         m_upstream->own_performance.begin(m_sent_at, chosen.nominal_forecast);
-    m_upstream->own.pending_prefill_tokens += m_unread_tokens;
+    m_upstream->own.pending_prefill_tokens += m_pending_prefill_tokens;
     m_context.urgent_streams[m_service] += m_is_most_urgent ? 1 : 0;
-    m_counted = true;
+    m_is_load_counted = true;
     m_answer = {};
     m_answer_body.clear();
-    m_cutter = {};
+    m_framer = {};
     m_is_stream = false;
 
     upstream_request added;
@@ -71,22 +74,22 @@
     std::string const text =
         request_text(m_head, m_body, m_context.names, added);
     arm_silence_timer(chosen);
-    // The hooks hold the exchange for as long as the connection may call.
+    // The hooks keep the exchange alive while the connection may call them.
     auto const self = shared_from_this();
     m_connection->send(text,
                        is_head_request(),
                        m_context.settings.connect_timeout,
                        {[self](message_head&& head) {
-                            self->take_head(std::move(head));
+                            self->handle_head(std::move(head));
                         },
                         [self](std::string_view bytes) {
-                            self->take_body(bytes);
+                            self->handle_body(bytes);
                         },
                         [self] {
-                            self->take_end();
+                            self->handle_end();
                         },
-                        [self](answer_fault why) {
-                            self->take_fault(why);
+                        [self](answer_fault fault) {
+                            self->handle_fault(fault);
                         }});
 }
 
@@ -97,37 +100,37 @@
         return;
     }
     int const targets = m_route->kind == routing::request_kind::stream
-                            ? targets_of_stream_silence
-                            : targets_of_silence;
+                            ? stream_silence_targets
+                            : silence_targets;
     auto const wait =
         std::max(m_route->latency_target * targets, chosen.forecast * 2);
     auto const weak = weak_from_this();
     m_silence_timer = m_context.loop.after(wait, [weak] {
-        auto const own = weak.lock();
-        if (!own || own->m_ended || own->m_report.first_byte.count() >= 0) {
+        auto const self = weak.lock();
+        if (!self || self->m_ended || self->m_report.first_byte.count() >= 0) {
             return;
         }
-        if (own->is_upstream_silent() && own->can_try_again(attempt_end::silent)
-            && own->is_still_allowed() && own->has_other_place()) {
-            own->m_upstream->health.record_failure(own->m_context.loop.now());
-            own->try_ended(attempt_end::silent);
+        if (self->is_upstream_silent() && self->can_retry(attempt_end::silent)
+            && self->is_still_admitted() && self->has_alternative()) {
+            self->m_upstream->health.record_failure(self->m_context.loop.now());
+            self->attempt_ended(attempt_end::silent);
             return;
         }
-        own->arm_silence_timer(own->m_pick);
+        self->arm_silence_timer(self->m_pick);
     });
 }
 
-void exchange::drop_connection()
+void exchange::release_connection()
 {
     m_context.loop.cancel(m_silence_timer);
-    if (m_counted) {
-        m_counted = false;
+    if (m_is_load_counted) {
+        m_is_load_counted = false;
         m_context.urgent_streams[m_service] -= m_is_most_urgent ? 1 : 0;
         m_upstream->own.running -= 1;
         m_upstream->own.urgent -= m_is_most_urgent ? 1 : 0;
-        m_upstream->own_performance.drop(m_waiting);
-        m_upstream->own.pending_prefill_tokens -= m_unread_tokens;
-        m_unread_tokens = 0;
+        m_upstream->own_performance.drop(m_performance_ticket);
+        m_upstream->own.pending_prefill_tokens -= m_pending_prefill_tokens;
+        m_pending_prefill_tokens = 0;
     }
     if (auto const connection = std::exchange(m_connection, nullptr)) {
         if (connection->has_sent()) {
@@ -138,8 +141,8 @@
     }
 }
 
-// An engine that answers others is busy, not lost: a second send would only
-// add to its queue and to another's.
+// An engine that answers other requests is busy, not lost. A retry would only
+// lengthen its queue and that of another engine.
 bool exchange::is_upstream_silent() const
 {
     return m_route->kind != routing::request_kind::stream
@@ -147,41 +150,41 @@
                   > m_route->latency_target;
 }
 
-bool exchange::can_try_again(attempt_end how)
+bool exchange::can_retry(attempt_end result)
 {
     routing::attempt_state after = m_state;
     ++after.sent;
-    return routing::may_retry(*m_route, how, after)
+    return routing::may_retry(*m_route, result, after)
            && m_context.allowance(m_service).available() >= 1.0;
 }
 
-bool exchange::takes_retry(attempt_end how)
+bool exchange::acquire_retry(attempt_end result)
 {
-    if (!routing::may_retry(*m_route, how, m_state)) {
+    if (!routing::may_retry(*m_route, result, m_state)) {
         return false;
     }
-    // An upstream that got nothing is no second send.
+    // An attempt that reached no upstream does not count as a retry.
     return m_state.sent == 0 || m_context.allowance(m_service).try_acquire();
 }
 
-void exchange::try_ended(attempt_end how)
+void exchange::attempt_ended(attempt_end result)
 {
     bool const had_run = m_may_have_run;
-    if (how == attempt_end::unreachable) {
+    if (result == attempt_end::unreachable) {
         ++m_state.unreached;
     }
-    drop_connection();
-    if (how == attempt_end::unreachable || how == attempt_end::not_run) {
+    release_connection();
+    if (result == attempt_end::unreachable || result == attempt_end::not_run) {
         m_may_have_run = had_run;
     }
-    m_state.has_begun = m_began;
-    m_report.last_attempt = routing::to_string(how);
-    // A busy host reads late that a caller has left, and would send on what
-    // nobody waits for.
-    if (!m_port.is_connected()) {
+    m_state.has_begun = m_has_begun;
+    m_report.last_attempt = routing::to_string(result);
+    // A busy host may not yet have read that the caller has disconnected, and
+    // would retry a request whose answer is no longer needed.
+    if (!m_sink.is_connected()) {
         return;
     }
-    if (takes_retry(how) && is_still_allowed()) {
+    if (acquire_retry(result) && is_still_admitted()) {
         fill_report();
         if (m_context.on_retried) {
             m_context.on_retried(m_report);
@@ -189,12 +192,12 @@
         place();
         return;
     }
-    if (m_began) {
+    if (m_has_begun) {
         end("cut", false);
         return;
     }
-    refuse(how == attempt_end::not_run ? step::upstream_full
-                                       : step::upstream_failed);
+    refuse(result == attempt_end::not_run ? reason_code::upstream_full
+                                          : reason_code::upstream_failed);
 }
 
 } // namespace caperjunction::proxy
--- a/src/proxy/http_get.hpp
+++ b/src/proxy/http_get.hpp
@@ -14,33 +14,33 @@
 
 namespace caperjunction::proxy {
 
-/// What to ask for, and for how long.
+/// A GET request and its timeouts.
 struct get_request
 {
     model::endpoint at;
     std::string target;
-    /// The connection isn't wanted for another request.
+    /// Whether to close the connection after the answer.
     bool close_after = false;
     model::milliseconds connect_timeout{300};
-    /// Until the answer's first byte.
+    /// Time until the answer's first byte.
     model::milliseconds first_byte_timeout{700};
-    /// Between two bytes. Nothing limits the whole: an answer that is dropped
-    /// while it comes is asked for again from its first byte, and over a full
-    /// link never arrives.
+    /// Time between two reads. The total time is not limited: an answer that is
+    /// dropped midway is requested again from its first byte, and over a
+    /// saturated link it would never arrive.
     model::milliseconds idle_timeout{700};
 };
 
-/// How far an answer has come.
+/// Progress of an answer.
 struct get_progress
 {
     std::size_t bytes = 0;
-    /// Since the request.
+    /// Time since the request.
     model::milliseconds total{0};
-    /// Since the last byte; since the request if none came.
+    /// Time since the last byte, or since the request if no byte was received.
     model::milliseconds idle{0};
 };
 
-/// Asks for one document at a time, and collects it.
+/// HTTP client that fetches one document at a time and buffers its body.
 ///
 /// Thread safety: none; owned by the loop's task.
 class http_get
@@ -49,8 +49,9 @@
     struct hooks
     {
         std::function<void(int status, std::string const& body)> on_answer;
-        /// There is no whole answer; `why`: silent, unreachable or broken.
-        std::function<void(std::string_view why)> on_failed;
+        /// Called if there is no complete answer. `reason`: silent, unreachable
+        /// or broken.
+        std::function<void(std::string_view reason)> on_failed;
     };
 
     explicit http_get(runtime::event_loop& loop);
@@ -58,11 +59,11 @@
     http_get(http_get const&) = delete;
     http_get& operator=(http_get const&) = delete;
 
-    /// Begins to ask; what was asked before is given up without a word. Hooks
-    /// may ask again.
-    void start(get_request const& request, hooks call);
+    /// Sends a request. A request in progress is cancelled without a callback.
+    /// Callbacks may start another request.
+    void start(get_request const& request, hooks callbacks);
 
-    /// Gives up what was asked, and the connection.
+    /// Cancels the request in progress and closes the connection.
     void stop();
 
     bool is_active() const
@@ -70,23 +71,23 @@
         return m_is_active;
     }
 
-    /// Of the last answer, whole or not.
+    /// Progress of the current or last answer, complete or not.
     get_progress progress() const;
 
 private:
-    void limit(model::milliseconds longest);
-    void end();
-    void failed(std::string_view why);
+    void set_timeout(model::milliseconds timeout);
+    void record_end();
+    void fail(std::string_view reason);
 
     runtime::event_loop& m_loop;
     std::shared_ptr<upstream_connection> m_connection;
     model::endpoint m_at;
-    hooks m_call;
-    runtime::timer_handle m_limit;
+    hooks m_hooks;
+    runtime::timer_handle m_timer;
     model::milliseconds m_idle_timeout{0};
     std::string m_body;
     std::size_t m_bytes = 0;
-    model::time_point m_asked_at{};
+    model::time_point m_started_at{};
     model::time_point m_last_byte_at{};
     model::time_point m_ended_at{};
     int m_status = 0;
--- a/src/proxy/peer_gossip.cpp
+++ b/src/proxy/peer_gossip.cpp
@@ -18,16 +18,16 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// How often a small fleet's hosts tell each other: a prompt is read in some
-/// 100 ms, and loads that are older mislead.
-constexpr model::milliseconds shortest_period{100};
-/// A host hears at most about this many datagrams a second with loads, some
-/// thousandths of a core.
-constexpr double most_heard_a_second = 60.0;
+/// Interval between digests in a small fleet. A prefill takes some 100 ms, and
+/// older loads lead to bad placements.
+constexpr model::milliseconds min_period{100};
+/// Approximate maximum of datagrams with loads that a host receives per second;
+/// they cost some thousandths of a core.
+constexpr double max_datagrams_per_second = 60.0;
 
-constexpr std::size_t largest_datagram = 65'536;
-constexpr std::size_t most_suspects = 32;
-constexpr std::size_t most_neighbours_told = 16;
+constexpr std::size_t max_datagram = 65'536;
+constexpr std::size_t max_suspects = 32;
+constexpr std::size_t max_neighbours_sent = 16;
 
 sockaddr_in to_socket(model::endpoint const& at)
 {
@@ -54,8 +54,9 @@
                != 0) {
         throw model::error(
             model::error_kind::bad_settings,
-            fmt::format(
-                "cannot hear peers on {}:{}", listen.address, listen.port),
+            fmt::format("cannot receive from peers on {}:{}",
+                        listen.address,
+                        listen.port),
             "free that port or choose another with --peer_listen");
     }
     m_read = event_new(
@@ -63,12 +64,12 @@
         m_socket,
         EV_READ | EV_PERSIST,
         [](int, short, void* self) {
-            static_cast<peer_gossip*>(self)->hear();
+            static_cast<peer_gossip*>(self)->receive();
         },
         this);
     event_add(m_read, nullptr);
-    m_timer = context.loop.after(shortest_period, [this] {
-        tell();
+    m_timer = context.loop.after(min_period, [this] {
+        send_digests();
     });
 }
 
@@ -90,13 +91,13 @@
     digest.data_centre = m_context.settings.data_centre;
     auto const now = m_context.loop.now();
     m_context.directory.each([&](routing::upstream_state const& state) {
-        routing::upstream_performance const pace =
+        routing::upstream_performance const performance =
             state.own_performance.performance(now);
-        if (state.own.running > 0 || pace.observers > 0) {
+        if (state.own.running > 0 || performance.observers > 0) {
             digest.loads.push_back(
                 {routing::upstream_load_key(state.description.id),
                  state.own,
-                 pace});
+                 performance});
         }
     });
     for (auto const& [service, count] : m_context.urgent_streams) {
@@ -106,8 +107,8 @@
         }
     }
     digest.limits = limits_to_advertise(m_context);
-    digest.suspects = m_context.suspects.suspects_to_send(most_suspects,
-                                                          m_context.loop.now());
+    digest.suspects =
+        m_context.suspects.suspects_to_send(max_suspects, m_context.loop.now());
     frame.stamp = m_context.boot_now();
     if (auto const as_of = m_context.keys.as_of()) {
         frame.confirmed_age =
@@ -119,52 +120,53 @@
 
 void peer_gossip::broadcast_change()
 {
-    // Hosts that all watch for themselves need no word of it.
+    // If all hosts watch the store themselves, they need no notification.
     if (m_context.peers.alive()
         < routing::peer_table::min_peers_of_large_fleet) {
         return;
     }
     m_context.loop.cancel(m_change_timer);
     m_change_timer = m_context.loop.after(model::milliseconds{0}, [this] {
-        tell_all(m_context.peers.recipients_of_change(
-                     m_context.loop.now(), m_context.known, m_random()),
-                 own_frame());
+        send_to_all(m_context.peers.recipients_of_change(
+                        m_context.loop.now(), m_context.known, m_random()),
+                    own_frame());
     });
 }
 
-void peer_gossip::tell()
+void peer_gossip::send_digests()
 {
     routing::peer_table& peers = m_context.peers;
     auto const now = m_context.loop.now();
     peers.forget_silent(now);
     digest_frame const frame = own_frame();
-    bool const is_news = m_news.has_significant_change(frame.digest.loads, now);
-    auto const audience = peers.recipients(now, m_context.known, is_news);
-    if (is_news) {
-        m_news.record_advertised(frame.digest.loads, now);
+    bool const has_change =
+        m_load_changes.has_significant_change(frame.digest.loads, now);
+    auto const recipients = peers.recipients(now, m_context.known, has_change);
+    if (has_change) {
+        m_load_changes.record_advertised(frame.digest.loads, now);
     }
-    tell_all(audience, frame);
+    send_to_all(recipients, frame);
     apply_loads();
-    model::milliseconds const by_size{static_cast<std::int64_t>(
+    model::milliseconds const load_period{static_cast<std::int64_t>(
         1'000.0 * static_cast<double>(peers.near_count())
-        / most_heard_a_second)};
-    m_timer = m_context.loop.after(std::max(shortest_period, by_size), [this] {
-        tell();
+        / max_datagrams_per_second)};
+    m_timer = m_context.loop.after(std::max(min_period, load_period), [this] {
+        send_digests();
     });
 }
 
-void peer_gossip::tell_all(
-    std::vector<routing::peer_table::recipient> const& audience,
+void peer_gossip::send_to_all(
+    std::vector<routing::peer_table::recipient> const& recipients,
     digest_frame frame)
 {
-    routing::digest_set const news =
+    routing::digest_set const digests =
         m_context.peers.make_digests(std::move(frame.digest));
-    for (auto const& to : audience) {
-        frame.digest = news.of(to.kind);
+    for (auto const& to : recipients) {
+        frame.digest = digests.of(to.kind);
         frame.digest.requests_reply = to.requests_reply;
         if (to.wants_neighbours) {
             frame.digest.neighbours = m_context.peers.neighbours_for(
-                to.at, most_neighbours_told, m_random());
+                to.at, max_neighbours_sent, m_random());
         }
         send_to(to.at, frame);
     }
@@ -172,15 +174,16 @@
 
 void peer_gossip::send_to(model::endpoint const& to, digest_frame& frame)
 {
-    auto const heard = m_echoes.find(fmt::format("{}:{}", to.address, to.port));
-    if (heard != m_echoes.end()) {
-        frame.echoed = heard->second.stamp;
+    auto const last_echo =
+        m_echoes.find(fmt::format("{}:{}", to.address, to.port));
+    if (last_echo != m_echoes.end()) {
+        frame.echoed = last_echo->second.stamp;
         frame.echo_held = std::chrono::duration_cast<std::chrono::microseconds>(
-            frame.stamp - heard->second.got_at);
+            frame.stamp - last_echo->second.received_at);
     }
     std::string const bytes = encode_digest(frame);
     sockaddr_in const address = to_socket(to);
-    // What doesn't go out is made good by the next.
+    // A digest that could not be sent is compensated by the next one.
     sendto(m_socket,
            bytes.data(),
            bytes.size(),
@@ -189,29 +192,31 @@
            sizeof address);
 }
 
-void peer_gossip::hear()
+void peer_gossip::receive()
 {
-    static std::array<char, largest_datagram> s_bytes;
+    static std::array<char, max_datagram> s_bytes;
     for (;;) {
         sockaddr_in from{};
         socklen_t size = sizeof from;
-        ssize_t const got = recvfrom(m_socket,
-                                     s_bytes.data(),
-                                     s_bytes.size(),
-                                     0,
-                                     reinterpret_cast<sockaddr*>(&from),
-                                     &size);
-        if (got < 0) {
+        ssize_t const size_received =
+            recvfrom(m_socket,
+                     s_bytes.data(),
+                     s_bytes.size(),
+                     0,
+                     reinterpret_cast<sockaddr*>(&from),
+                     &size);
+        if (size_received < 0) {
             return;
         }
         char text[INET_ADDRSTRLEN] = "";
         inet_ntop(AF_INET, &from.sin_addr, text, sizeof text);
-        take({s_bytes.data(), static_cast<std::size_t>(got)},
-             {text, ntohs(from.sin_port)});
+        handle_digest({s_bytes.data(), static_cast<std::size_t>(size_received)},
+                      {text, ntohs(from.sin_port)});
     }
 }
 
-void peer_gossip::take(std::string_view bytes, model::endpoint const& from)
+void peer_gossip::handle_digest(std::string_view bytes,
+                                model::endpoint const& from)
 {
     auto frame = decode_digest(bytes);
     if (!frame) {
@@ -220,33 +225,34 @@
     auto const now = m_context.boot_now();
     m_echoes[fmt::format("{}:{}", from.address, from.port)] = {frame->stamp,
                                                                now};
-    // The sender had our stamp for `echo_held` when it said how old its
-    // belief was: that moment is no earlier than the stamp and that time.
+    // The sender had held our stamp for `echo_held` when it stated the age of
+    // its confirmation. That moment is therefore no earlier than the stamp plus
+    // `echo_held`.
     if (frame->echoed && frame->confirmed_age && *frame->echoed <= now) {
         frame->digest.confirmed_at =
             *frame->echoed + frame->echo_held - *frame->confirmed_age;
     }
-    confirm_by(frame->digest, now);
+    apply_confirmation(frame->digest, now);
     m_context.peers.record_digest(from, frame->digest, m_context.loop.now());
-    routing::store_revisions const& told = frame->digest.revisions;
+    routing::store_revisions const& received = frame->digest.revisions;
     bool const knows_more =
-        told.upstreams > m_context.known.upstreams
-        || told.configuration > m_context.known.configuration;
-    if (m_on_heard && knows_more) {
-        m_on_heard();
+        received.upstreams > m_context.known.upstreams
+        || received.configuration > m_context.known.configuration;
+    if (m_on_newer_revision && knows_more) {
+        m_on_newer_revision();
     }
 }
 
-void peer_gossip::confirm_by(routing::peer_digest const& told,
-                             model::time_point now)
+void peer_gossip::apply_confirmation(routing::peer_digest const& received,
+                                     model::time_point now)
 {
     routing::store_revisions& known = m_context.known;
-    if (!known.covers_configuration(told.revisions)) {
+    if (!known.covers_configuration(received.revisions)) {
         return;
     }
-    known.checked = std::max(known.checked, told.revisions.checked);
-    if (told.confirmed_at) {
-        m_context.keys.renew(std::min(*told.confirmed_at, now));
+    known.checked = std::max(known.checked, received.revisions.checked);
+    if (received.confirmed_at) {
+        m_context.keys.renew(std::min(*received.confirmed_at, now));
     }
 }
 
@@ -254,10 +260,10 @@
 {
     m_context.peers.aggregate();
     m_context.directory.each([this](routing::upstream_state& state) {
-        auto const told = m_context.peers.load_of(
+        auto const received = m_context.peers.load_of(
             routing::upstream_load_key(state.description.id));
-        state.others = told.load;
-        state.others_performance = told.performance;
+        state.others = received.load;
+        state.others_performance = received.performance;
     });
     apply_advertised_limits(m_context);
     if (m_alive != m_context.peers.alive()) {
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -14,23 +14,24 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// Callers that may wait to be accepted: when the queue is full, the opening
-/// packet of the next is dropped and sent again after a second.
+/// Connections that may wait to be accepted. When the queue is full, the SYN of
+/// the next connection is dropped and retransmitted after a second.
 constexpr int backlog = 1'024;
 
-/// How exactly idle and slow connections are ended.
+/// Interval, and thereby precision, with which idle and slow connections are
+/// closed.
 constexpr model::milliseconds sweep_period{250};
 
-/// A loop that comes to its timers so much later than asked lacks processor
-/// time.
-constexpr model::milliseconds noticeable_delay{250};
+/// A loop whose timers run this late lacks processor time.
+constexpr model::milliseconds min_reported_lateness{250};
 
-/// Part of the last moment in which final answers are sent.
-constexpr model::milliseconds sending_time{100};
+/// Time before the end of the process in which final answers are sent.
+constexpr model::milliseconds final_answer_time{100};
 
-/// Within this time a caller sends the first request on a new connection, or
-/// the next one on a kept one. A stopping host waits for it before it closes.
-constexpr model::milliseconds usual_rest{500};
+/// Time within which a caller sends the first request on a new connection, or
+/// the next one on a kept connection. A stopping host waits this long before it
+/// closes an idle connection.
+constexpr model::milliseconds min_idle_before_close{500};
 
 } // namespace
 
@@ -44,8 +45,12 @@
         AF_INET, context.settings.listen.address.c_str(), &address.sin_addr);
     m_listener = evconnlistener_new_bind(
         context.loop.base(),
-        [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* own) {
-            static_cast<relay*>(own)->serve(socket);
+        [](evconnlistener*,
+           evutil_socket_t socket,
+           sockaddr*,
+           int,
+           void* self) {
+            static_cast<relay*>(self)->serve(socket);
         },
         this,
         LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
@@ -76,7 +81,8 @@
     m_context.loop.cancel(m_sweep);
     m_context.loop.cancel(m_stop_limit);
     evconnlistener_free(m_listener);
-    // A connection keeps its caller alive until one of them lets go.
+    // A connection and its caller keep each other alive until one of them is
+    // closed.
     auto const callers = std::move(m_callers);
     for (auto const& [key, item] : callers) {
         item->abort();
@@ -85,21 +91,21 @@
 
 void relay::serve(int socket)
 {
-    auto const made =
+    auto const result =
         std::make_shared<caller>(m_context, [this](caller const* closed) {
             m_callers.erase(closed);
         });
-    m_callers.emplace(made.get(), made);
-    made->serve(socket);
+    m_callers.emplace(result.get(), result);
+    result->serve(socket);
 }
 
-void relay::note_lateness()
+void relay::record_lateness()
 {
     auto const now = m_context.loop.now();
     auto const late = std::chrono::duration_cast<model::milliseconds>(
         now - m_swept_at - sweep_period);
     m_swept_at = now;
-    if (late >= noticeable_delay && m_context.on_loop_late) {
+    if (late >= min_reported_lateness && m_context.on_loop_late) {
         m_context.on_loop_late(late);
     }
 }
@@ -116,7 +122,7 @@
 
 void relay::sweep()
 {
-    note_lateness();
+    record_lateness();
     for (auto const& item : all_callers()) {
         item->check_timeouts();
     }
@@ -145,7 +151,7 @@
 
 void relay::check_stop()
 {
-    // The limit may have been shortened since the signal.
+    // The limit may have been lowered since the signal.
     if (m_context.since_stop()
             > m_context.settings.stop_limit - routing::final_write_time
         && !m_is_ending) {
@@ -156,10 +162,10 @@
         return;
     }
     for (auto const& item : all_callers()) {
-        item->close_if_idle(usual_rest);
+        item->close_if_idle(min_idle_before_close);
     }
     if (m_callers.empty()) {
-        tell_stopped();
+        notify_stopped();
     }
 }
 
@@ -170,16 +176,16 @@
     for (auto const& item : all_callers()) {
         item->stop();
     }
-    m_stop_limit = m_context.loop.after(sending_time, [this] {
-        tell_stopped();
+    m_stop_limit = m_context.loop.after(final_answer_time, [this] {
+        notify_stopped();
     });
 }
 
-void relay::tell_stopped()
+void relay::notify_stopped()
 {
-    auto const call = std::exchange(m_on_stopped, nullptr);
-    if (call) {
-        call();
+    auto const callback = std::exchange(m_on_stopped, nullptr);
+    if (callback) {
+        callback();
     }
 }
 
--- a/src/proxy/tcp_stream_close.cpp
+++ b/src/proxy/tcp_stream_close.cpp
@@ -9,11 +9,11 @@
 namespace caperjunction::proxy {
 namespace {
 
-/// Time in which the other side may close after it has been sent all.
-constexpr model::milliseconds closing_time{1'000};
+/// Time in which the peer may close after everything has been sent.
+constexpr model::milliseconds close_timeout{1'000};
 
-/// A caller that takes no byte for so long has left.
-constexpr model::milliseconds longest_stall{10'000};
+/// A caller that accepts no byte for this long is considered gone.
+constexpr model::milliseconds max_stall{10'000};
 
 } // namespace
 
@@ -34,8 +34,8 @@
     }
     m_finishing = true;
     m_on_finished = std::move(on_finished);
-    // Nobody hears of what follows; the owner may go.
-    m_call = {};
+    // No hook is called from here on, so the owner may be destroyed.
+    m_hooks = {};
     enable_reading(true);
     if (unsent_bytes() == 0) {
         shutdown(m_socket, SHUT_WR);
@@ -43,33 +43,34 @@
     wait_for_close(unsent_bytes(), model::milliseconds{0});
 }
 
-// The rest of an answer may need longer than any fixed time on a full link.
+// Over a saturated link, the rest of an answer may take longer than any fixed
+// timeout. Only a lack of progress ends the connection.
 void tcp_stream::wait_for_close(std::size_t unsent_before,
                                 model::milliseconds stalled)
 {
-    auto const keep = shared_from_this();
-    m_timer = m_loop.after(closing_time, [keep, unsent_before, stalled] {
-        std::size_t const left = keep->unsent_bytes();
-        bool const moves = left < unsent_before;
-        auto const now_stalled =
-            moves ? model::milliseconds{0} : stalled + closing_time;
-        if (now_stalled >= (left == 0 ? closing_time : longest_stall)) {
-            keep->end(connection_end::own_close);
+    auto const guard = shared_from_this();
+    m_timer = m_loop.after(close_timeout, [guard, unsent_before, stalled] {
+        std::size_t const left = guard->unsent_bytes();
+        bool const has_progressed = left < unsent_before;
+        auto const total_stalled =
+            has_progressed ? model::milliseconds{0} : stalled + close_timeout;
+        if (total_stalled >= (left == 0 ? close_timeout : max_stall)) {
+            guard->end(connection_end::own_close);
             return;
         }
-        keep->wait_for_close(left, now_stalled);
+        guard->wait_for_close(left, total_stalled);
     });
 }
 
-void tcp_stream::end(connection_end how)
+void tcp_stream::end(connection_end reason)
 {
-    bool const tell = !m_finishing;
-    auto const call = m_call.on_end;
+    bool const should_notify = !m_finishing;
+    auto const callback = m_hooks.on_end;
     auto const on_finished = std::exchange(m_on_finished, nullptr);
-    close_report const report{how, unsent_bytes(), m_late_bytes};
+    close_report const report{reason, unsent_bytes(), m_late_bytes};
     close();
-    if (tell && call) {
-        call(how);
+    if (should_notify && callback) {
+        callback(reason);
     }
     if (on_finished) {
         on_finished(report);
@@ -90,9 +91,9 @@
     }
     ::close(m_socket);
     m_socket = -1;
-    // The hooks keep their owner alive; whoever is being called from one of
-    // them holds a copy of it.
-    m_call = {};
+    // The hooks keep their owner alive. A hook that is being called runs on a
+    // copy.
+    m_hooks = {};
     m_on_finished = nullptr;
 }
 
