--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -1,10 +1,10 @@
-"""A randomized fault soak of real hosts on loopback.
+"""Randomized fault injection against real hosts on loopback.
 
     python3 -m tools.soak --program build/bin/caperjunction --seeds 1..50
 
-Each seed starts hosts as processes, harms them from outside, and checks the
-promises from what callers were told and upstreams ran. A seed that finds
-something keeps its logs."""
+Each seed starts hosts as processes, injects faults from outside, and checks
+the guarantees against what callers received and upstreams executed. The logs
+of a seed with findings are kept."""
 
 import argparse
 import asyncio
@@ -19,50 +19,52 @@
 from . import checks, faults
 from .site import Site
 
-# The first reads, and the end: what runs late still has to show.
-LIMIT_SEED = 1_000_000
+LIMIT_SEED_OFFSET = 1_000_000
+# Wait after the start, until the hosts have read the store, and at the end,
+# so that late executions are still recorded.
 SETTLE_SECONDS = 1.5
 
 
-async def inject(site, until, calm, draw):
+async def inject(site, until, interval, start_action):
     while time.monotonic() < until:
-        await asyncio.sleep(site.random.uniform(0.1, 0.8 * calm))
-        asyncio.ensure_future(draw(site))
+        await asyncio.sleep(site.random.uniform(0.1, 0.8 * interval))
+        asyncio.ensure_future(start_action(site))
 
 
-async def limit_some(site, seed, until):
-    """Upstreams name limits; drawn apart, so that a seed's other faults stay what they were."""
-    rng = random.Random(seed + LIMIT_SEED)
+async def inject_limits(site, seed, until):
+    """Makes upstreams advertise limits. Uses its own generator: sharing one changes all other faults of a seed."""
+    rng = random.Random(seed + LIMIT_SEED_OFFSET)
     while time.monotonic() < until:
         await asyncio.sleep(rng.uniform(0.5, 3.0))
-        await faults.engine_limited(site, rng)
+        await faults.limit_engine(site, rng)
 
 
-def tell_failure(loop, context):
-    """What is still being served when a run ends is cancelled, and no failure."""
+def handle_loop_exception(loop, context):
+    """Ignores cancellations: requests still in progress at the end of a run are cancelled."""
     if not isinstance(context.get("exception"), asyncio.CancelledError):
         loop.default_exception_handler(context)
 
 
-async def play(seed, options, folder):
-    asyncio.get_running_loop().set_exception_handler(tell_failure)
+async def run_seed(seed, options, folder):
+    asyncio.get_running_loop().set_exception_handler(handle_loop_exception)
     site = Site(random.Random(seed), options.program, folder, options.hosts, options.engines, options.flag)
     try:
         await site.start()
         await asyncio.sleep(SETTLE_SECONDS)
         until = time.monotonic() + options.seconds
-        # Some seeds are calm: checks that need quiet have something to see.
-        work = [caller.run(until) for caller in site.callers(options.callers)]
-        # In every third seed all that happens is planned.
-        calm, draw = (1.0 + seed % 4, faults.draw) if seed % 3 else (1.0, faults.draw_planned)
-        await asyncio.gather(inject(site, until - 1.0, calm, draw), limit_some(site, seed, until - 1.0), *work)
+        tasks = [caller.run(until) for caller in site.callers(options.callers)]
+        # Some seeds have long intervals between faults, because several checks apply only to fault-free
+        # periods. Every third seed has planned operations only.
+        interval, action = (1.0 + seed % 4, faults.random_action) if seed % 3 else (1.0, faults.random_planned_action)
+        await asyncio.gather(inject(site, until - 1.0, interval, action), inject_limits(site, seed, until - 1.0),
+                             *tasks)
         await asyncio.sleep(SETTLE_SECONDS)
     finally:
         site.end()
     found = [f"{check.__name__}: {line}" for check in options.checks for line in check(site)]
-    served = sum(t.status == 200 and t.whole for t in site.told)
-    print(f"soak: seed={seed} requests={len(site.told)} served={served} runs={len(site.runs)} "
-          f"harms={len(site.harms)} stops={len(site.stops)} findings={len(found)}", flush=True)
+    served = sum(t.status == 200 and t.complete for t in site.requests)
+    print(f"soak: seed={seed} requests={len(site.requests)} served={served} runs={len(site.runs)} "
+          f"harms={len(site.fault_periods)} stops={len(site.stops)} findings={len(found)}", flush=True)
     for line in found[:10]:
         print(f"  {line}", flush=True)
     return found
@@ -74,7 +76,7 @@
 
 
 def main():
-    # Told to stop, it ends the hosts that it started.
+    # sys.exit runs the cleanup that ends the hosts of this run.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--program", default="build/bin/caperjunction")
@@ -83,16 +85,16 @@
     parser.add_argument("--hosts", type=int, default=5)
     parser.add_argument("--engines", type=int, default=6)
     parser.add_argument("--callers", type=int, default=20)
-    parser.add_argument("--flag", action="append", default=[], help="given to each host")
+    parser.add_argument("--flag", action="append", default=[], help="passed to each host")
     parser.add_argument("--known_red", dest="checks", action="store_const", default=checks.ALL,
-                        const=checks.ALL + checks.KNOWN_RED, help="with the checks of KNOWN-RED.txt")
-    parser.add_argument("--keep", default="soak-findings", help="where logs of findings go")
+                        const=checks.ALL + checks.KNOWN_RED, help="include the checks listed in KNOWN-RED.txt")
+    parser.add_argument("--keep", default="soak-findings", help="folder for the logs of seeds with findings")
     options = parser.parse_args()
     options.program = os.path.abspath(options.program)
     failed = []
     for seed in options.seeds:
         folder = tempfile.mkdtemp(prefix="caperjunction-soak-")
-        if asyncio.run(play(seed, options, folder)):
+        if asyncio.run(run_seed(seed, options, folder)):
             failed.append(seed)
             shutil.copytree(folder, os.path.join(options.keep, f"seed-{seed}"), dirs_exist_ok=True)
         shutil.rmtree(folder)
--- a/tools/soak/caller.py
+++ b/tools/soak/caller.py
@@ -1,4 +1,4 @@
-"""Callers that keep their connections and note what they were told."""
+"""Callers that reuse connections and record the answers they receive."""
 
 import asyncio
 import itertools
@@ -7,8 +7,8 @@
 from .http import read_body, read_head
 
 
-class Told:
-    """What one request's caller saw."""
+class RequestRecord:
+    """A request and its answer, as its caller observed them."""
 
     def __init__(self, request_id, path, key, host, deadline):
         self.id = request_id
@@ -17,104 +17,106 @@
         self.key = key
         self.host = host
         self.sent = time.monotonic()
-        # How long its connection had rested, and whether the answer before was read with a pause.
-        self.rested, self.after_pause = 0.0, False
+        # How long the connection was idle before, and whether its previous answer was read with a pause.
+        self.idle_time, self.after_paused_read = 0.0, False
         self.ended = None
         self.status = None
         self.service = None
         self.body = b""
-        # Whole answer; False: the connection ended first.
-        self.whole = False
-        self.left = False
+        # False if the connection ended before the answer was complete.
+        self.complete = False
+        self.caller_left = False
 
 
 class Caller:
     counter = itertools.count(1)
 
-    def __init__(self, site, rng, kinds=("/book/", "/book/", "/view/", "/stream/", "/resume/"), stubborn=False):
+    def __init__(self, site, rng, prefixes=("/book/", "/book/", "/view/", "/stream/", "/resume/"),
+                 uses_stopping_hosts=False):
         self.site = site
         self.random = rng
-        self.kinds = kinds
-        # Goes to stopping hosts as long as their process is there.
-        self.stubborn = stubborn
-        self.rested_since, self.has_paused = 0.0, False
+        self.prefixes = prefixes
+        # Sends to stopping hosts as long as their processes run.
+        self.uses_stopping_hosts = uses_stopping_hosts
+        self.idle_since, self.has_paused = 0.0, False
         self.connection = None
         self.host = None
 
     async def run(self, until):
         while time.monotonic() < until:
-            rests = self.random.random() < 0.02
-            await asyncio.sleep(self.random.uniform(0.5, 1.5) if rests else self.random.uniform(0.02, 0.12))
+            is_idle = self.random.random() < 0.02
+            await asyncio.sleep(self.random.uniform(0.5, 1.5) if is_idle else self.random.uniform(0.02, 0.12))
             try:
                 await self.one_request(until)
             except (ConnectionError, OSError, asyncio.IncompleteReadError, asyncio.TimeoutError, ValueError):
-                self.drop()
-        self.drop()
+                self.close_connection()
+        self.close_connection()
 
-    def drop(self):
+    def close_connection(self):
         if self.connection is not None:
             self.connection[1].transport.abort()
         self.connection = None
 
     def pick_path(self):
-        kind = self.random.choice(self.kinds)
-        if kind == "/long/":
-            return kind + str(self.random.randint(10, 100))
-        # Half of the slow ones take nearly all of their deadline.
-        return kind + (str(self.random.choice([self.random.randint(300, 2000), 2300])) if kind == "/slow/" else "x")
+        prefix = self.random.choice(self.prefixes)
+        if prefix == "/long/":
+            return prefix + str(self.random.randint(10, 100))
+        # Half of the slow requests take nearly their whole deadline.
+        return prefix + (str(self.random.choice([self.random.randint(300, 2000), 2300])) if prefix == "/slow/" else "x")
 
     async def one_request(self, until):
         if self.connection is None:
             ready = [h for h in self.site.hosts if h.is_ready]
-            stopping = [h for h in self.site.hosts if self.stubborn and h.is_stopping and h.is_running()]
+            stopping = [h for h in self.site.hosts if self.uses_stopping_hosts and h.is_stopping and h.is_running()]
             if not ready and not stopping:
                 return
             self.host = self.random.choice(stopping or ready)
             self.connection = await asyncio.wait_for(
                 asyncio.open_connection("127.0.0.1", self.host.front.port), 1
             )
-            self.rested_since, self.has_paused = time.monotonic(), False
+            self.idle_since, self.has_paused = time.monotonic(), False
         reader, writer = self.connection
         path = self.pick_path()
         deadline = 12.0 if path.startswith(("/long/", "/big/")) else 2.5
-        told = Told(f"r{next(self.counter)}", path, self.site.pick_key(self.random), self.host.name, deadline)
-        told.rested, told.after_pause = told.sent - self.rested_since, self.has_paused
-        self.site.told.append(told)
-        lines = [
-            f"POST {told.path} HTTP/1.1",
+        record = RequestRecord(f"r{next(self.counter)}", path, self.site.pick_key(self.random), self.host.name,
+                               deadline)
+        record.idle_time, record.after_paused_read = record.sent - self.idle_since, self.has_paused
+        self.site.requests.append(record)
+        header_lines = [
+            f"POST {record.path} HTTP/1.1",
             "Host: desk.example",
-            f"Attempt-Id: {told.id}",
-            f"Authorization: Bearer {told.key}",
+            f"Attempt-Id: {record.id}",
+            f"Authorization: Bearer {record.key}",
             f"Deadline-Ms: {deadline * 1000:.0f}",
             "Content-Length: 4",
             "",
             "body",
         ]
-        writer.write("\r\n".join(lines).encode())
-        leaves = self.random.random() < 0.05
-        patience = self.random.uniform(0.005, 0.2) if leaves else deadline + 1.0
-        # At the run's end those of long requests leave.
-        ending = max(until - time.monotonic(), 0) + 1.0
+        writer.write("\r\n".join(header_lines).encode())
+        caller_leaves = self.random.random() < 0.05
+        timeout = self.random.uniform(0.005, 0.2) if caller_leaves else deadline + 1.0
+        # Callers of long requests disconnect at the end of the run.
+        time_to_end = max(until - time.monotonic(), 0) + 1.0
         pause = self.random.uniform(1.6, 3.0) if path.startswith("/big/") else 0
         try:
-            await asyncio.wait_for(self.read_answer(reader, told, pause), min(patience, ending))
+            await asyncio.wait_for(self.read_answer(reader, record, pause), min(timeout, time_to_end))
         except asyncio.TimeoutError:
-            told.left = leaves or ending < patience
-            told.ended = time.monotonic()
-            self.drop()
+            record.caller_left = caller_leaves or time_to_end < timeout
+            record.ended = time.monotonic()
+            self.close_connection()
 
-    async def read_answer(self, reader, told, pause):
+    async def read_answer(self, reader, record, pause):
         try:
             head = await read_head(reader)
             if head is None:
-                self.drop()
+                self.close_connection()
                 return
-            told.status = int(head[0].split()[1])
-            told.service = head[1].get("response-seal")
-            told.body = await read_body(reader, head[1], pause)
-            told.whole = head[1].get("attempt-id") == told.id
-            self.rested_since, self.has_paused = time.monotonic(), pause > 0
+            record.status = int(head[0].split()[1])
+            record.service = head[1].get("response-seal")
+            record.body = await read_body(reader, head[1], pause)
+            record.complete = head[1].get("attempt-id") == record.id
+            self.idle_since, self.has_paused = time.monotonic(), pause > 0
             if head[1].get("connection", "").lower() == "close":
-                self.drop()
+                self.close_connection()
         finally:
-            told.ended = time.monotonic()
+            record.ended = time.monotonic()
--- a/tools/soak/checks.py
+++ b/tools/soak/checks.py
@@ -1,36 +1,37 @@
-"""The promises, checked from what callers were told and upstreams ran.
+"""Checks of the router's guarantees against the records of a run.
 
-Each check gives a list of findings; empty means kept."""
+Each check returns a list of findings, empty if the guarantee holds."""
 
 import collections
 
 from .engine import event_count, plain_answer
 
-PROMISES = (408, 421, 429, 503)
-# Prefixes of routes whose requests run once at most.
-ONCE = ("/book/", "/stream/", "/slow/", "/long/")
-# Times in seconds, from the settings that the soak gives its hosts.
+NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+# Prefixes of routes whose requests run at most once.
+AT_MOST_ONCE = ("/book/", "/stream/", "/slow/", "/long/")
+# Times (s) and ratios. They match the settings of the hosts in the soak.
 KEY_LIFETIME = 5.0
 APPLY_LIMIT = 2.5
 RETRY_RATIO = 0.2
 RETRY_EXTRA = 50
 BUDGET_WINDOW = 10.0
 LEAVING_LIMIT = 0.5
-# From so long after an upstream has named a limit, it gets no more in a window
-# than so much of it, and some requests.
-LIMIT_LEARNT = 3.0
+# LIMIT_EFFECT_DELAY after an upstream has advertised a limit, it receives in
+# each LIMIT_WINDOW at most LIMIT_SHARE times its limit plus LIMIT_EXTRA requests.
+LIMIT_EFFECT_DELAY = 3.0
 LIMIT_WINDOW = 4.0
 LIMIT_SHARE = 1.5
 LIMIT_EXTRA = 5
-LIMIT_HEARD = 1.0
+# Time in which a restarted host receives the limit from its peers.
+LIMIT_PROPAGATION = 1.0
 STOP_LIMIT = 8.0
-# A request that was wholly sent so long before its connection ended was read.
-LOSS_SLACK = 0.2
-# A caller that goes on with a connection so soon finds it open: a stopping
-# host waits for half a second, and no idle limit of the soak is shorter.
-SOON = 0.3
-# Scheduling of this machine, far above what its runs showed.
-SLACK = 0.3
+# The host has read a request that was sent this long before its connection ended.
+READ_DELAY = 0.2
+# A caller that reuses a connection within this time finds it open: a stopping
+# host waits 0.5 s, and no idle limit of the soak is shorter.
+REUSE_TIME = 0.3
+# Allowance for scheduling delays, far above those measured on the test machine.
+SCHEDULING_SLACK = 0.3
 
 
 def runs_by_id(site):
@@ -44,23 +45,23 @@
     return [
         f"{i} ({runs[0].path}) ran {len(runs)} times"
         for i, runs in runs_by_id(site).items()
-        if len(runs) > 1 and runs[0].path.startswith(ONCE)
+        if len(runs) > 1 and runs[0].path.startswith(AT_MOST_ONCE)
     ]
 
 
 def not_run_is_true(site):
     by_id = runs_by_id(site)
     return [
-        f"{t.id} ({t.path}) was told {t.status} and ran"
-        for t in site.told
-        if t.status in PROMISES and by_id.get(t.id) and t.path.startswith(ONCE)
+        f"{t.id} ({t.path}) got {t.status} although it ran"
+        for t in site.requests
+        if t.status in NOT_EXECUTED_STATUSES and by_id.get(t.id) and t.path.startswith(AT_MOST_ONCE)
     ]
 
 
 def answers_are_whole(site):
     found = []
-    for t in site.told:
-        if t.status != 200 or not t.whole:
+    for t in site.requests:
+        if t.status != 200 or not t.complete:
             continue
         if t.path.startswith(("/stream/", "/resume/", "/long/")):
             want = "".join(f"id: {n}\ndata: {t.id} {n}\n\n" for n in range(1, event_count(t.path) + 1))
@@ -69,35 +70,35 @@
         if t.body.decode() != want:
             found.append(f"{t.id} ({t.path}) got {t.body[:80]!r}")
         if not t.service:
-            found.append(f"{t.id} got a success without a seal")
+            found.append(f"{t.id} got 200 without a Response-Seal")
     return found
 
 
 def removed_keys_are_dead(site):
-    sent = {t.id: t for t in site.told}
+    sent = {t.id: t for t in site.requests}
     found = []
     for run in site.runs:
         t = sent.get(run.id)
         if t is None:
-            found.append(f"{run.id} ran and nobody sent it")
-        elif t.key in site.revoked and t.sent > site.revoked[t.key] + KEY_LIFETIME:
-            found.append(f"{t.id} ran {t.sent - site.revoked[t.key]:.2f} s after its key was removed")
+            found.append(f"{run.id} ran but no caller sent it")
+        elif t.key in site.revoked_keys and t.sent > site.revoked_keys[t.key] + KEY_LIFETIME:
+            found.append(f"{t.id} ran {t.sent - site.revoked_keys[t.key]:.2f} s after its key was removed")
     return found
 
 
 def work_ends_with_its_caller(site):
     by_id = runs_by_id(site)
     found = []
-    for t in site.told:
+    for t in site.requests:
         for run in by_id.get(t.id, ()):
             late = (run.ended or site.now()) - t.ended if t.ended else 0
-            if t.left and late > LEAVING_LIMIT + SLACK and not site.harmed(t.ended, t.ended + 1.0):
-                found.append(f"{t.id} ({t.path}) was worked on {late:.2f} s after its caller left")
+            if t.caller_left and late > LEAVING_LIMIT + SCHEDULING_SLACK and not site.had_fault(t.ended, t.ended + 1.0):
+                found.append(f"{t.id} ({t.path}) was processed for {late:.2f} s after its caller disconnected")
     return found
 
 
 def configuration_is_in_force(site):
-    sent = {t.id: t for t in site.told}
+    sent = {t.id: t for t in site.requests}
     found = []
     for run in site.runs:
         t = sent.get(run.id)
@@ -106,63 +107,64 @@
         for moved, service in site.moves:
             later = [m for m, _ in site.moves if m > moved]
             ends = min(later) if later else float("inf")
-            calm = not site.harmed(moved - 3.0, t.sent)
-            if t.sent > moved + APPLY_LIMIT + SLACK and t.sent < ends and calm and run.service != service:
+            is_fault_free = not site.had_fault(moved - 3.0, t.sent)
+            if (t.sent > moved + APPLY_LIMIT + SCHEDULING_SLACK and t.sent < ends and is_fault_free
+                    and run.service != service):
                 found.append(f"{t.id} ran at {run.service} {t.sent - moved:.2f} s after the route moved")
     return found
 
 
 def leaving_engines_are_left(site):
     found = []
-    for engine, left in site.left_at.items():
+    for engine, drained in site.drained_at.items():
         for at, request_id in engine.arrivals:
-            if at > left + APPLY_LIMIT + SLACK and not site.harmed(left - 3.0, at):
-                found.append(f"{request_id} reached {engine.name} {at - left:.2f} s after it left")
+            if at > drained + APPLY_LIMIT + SCHEDULING_SLACK and not site.had_fault(drained - 3.0, at):
+                found.append(f"{request_id} reached {engine.name} {at - drained:.2f} s after it started draining")
     return found
 
 
 def limits_are_kept(site):
     found = []
     for engine, limit, since, until in site.limits:
-        arrivals = [at for at, _ in engine.arrivals if since + LIMIT_LEARNT <= at < until]
+        arrivals = [at for at, _ in engine.arrivals if since + LIMIT_EFFECT_DELAY <= at < until]
         allowed = LIMIT_SHARE * limit * LIMIT_WINDOW + LIMIT_EXTRA
         for begin in arrivals:
             end = begin + LIMIT_WINDOW
-            got = sum(begin <= at < end for at in arrivals)
-            # A host that has started anew has to hear of the limit first.
-            starts = any(begin - LIMIT_HEARD < started < end for _, _, started in site.stops)
-            calm = not starts and not site.harmed(begin - LIMIT_HEARD, end)
-            if got > allowed and calm:
-                found.append(f"{engine.name} named {limit} a second and got {got} in {LIMIT_WINDOW} s")
+            received = sum(begin <= at < end for at in arrivals)
+            # A restarted host has to receive the limit first.
+            has_start = any(begin - LIMIT_PROPAGATION < started < end for _, _, started in site.stops)
+            is_fault_free = not has_start and not site.had_fault(begin - LIMIT_PROPAGATION, end)
+            if received > allowed and is_fault_free:
+                found.append(f"{engine.name} advertised {limit} per second and received {received} in {LIMIT_WINDOW} s")
                 break
     return found
 
 
 def retries_keep_to_budget(site):
-    first = {}
-    seconds = []
+    arrivals = {}
+    retry_times = []
     for engine in site.engines:
         for at, request_id in engine.arrivals:
-            first.setdefault(request_id, []).append(at)
-    for times in first.values():
-        seconds += sorted(times)[1:]
-    seconds.sort()
-    sent = sorted(t.sent for t in site.told)
-    for begin in seconds:
-        spent = sum(begin <= s < begin + BUDGET_WINDOW for s in seconds)
-        asked = sum(begin - BUDGET_WINDOW <= s < begin + BUDGET_WINDOW for s in sent)
-        if spent > RETRY_RATIO * asked + RETRY_EXTRA:
-            return [f"{spent} second sends in {BUDGET_WINDOW} s for {asked} requests"]
+            arrivals.setdefault(request_id, []).append(at)
+    for times in arrivals.values():
+        retry_times += sorted(times)[1:]
+    retry_times.sort()
+    sent = sorted(t.sent for t in site.requests)
+    for begin in retry_times:
+        retries = sum(begin <= s < begin + BUDGET_WINDOW for s in retry_times)
+        requests = sum(begin - BUDGET_WINDOW <= s < begin + BUDGET_WINDOW for s in sent)
+        if retries > RETRY_RATIO * requests + RETRY_EXTRA:
+            return [f"{retries} retries in {BUDGET_WINDOW} s for {requests} requests"]
     return []
 
 
 def is_cut(t):
-    """The connection ended, by the host, without a complete answer."""
-    return t.ended is not None and not t.left and not t.whole and t.status in (None, 200)
+    """Whether the host ended the connection without a complete answer."""
+    return t.ended is not None and not t.caller_left and not t.complete and t.status in (None, 200)
 
 
-def time_allowed(site, t):
-    """The shortest of its deadline and the timeouts of its route that may have been in force."""
+def time_limit(site, t):
+    """The minimum of the deadline and the route timeouts that may have been in force."""
     if t.path.startswith(("/big/", "/long/")):
         return t.deadline
     ends = [at for at, _ in site.configurations[1:]] + [float("inf")]
@@ -172,17 +174,17 @@
 
 
 def may_be_cut(site, t, runs):
-    """What allows a host to end an answer: its upstream, the time, or the last sixth of its stop."""
-    if site.harmed(t.sent - 1.0, t.ended) or any(run.broke_off for run in runs):
+    """Whether the host may end the answer: its upstream failed, its time is up, or the last 1/6 of STOP_LIMIT began."""
+    if site.had_fault(t.sent - 1.0, t.ended) or any(run.upstream_aborted for run in runs):
         return True
-    worked_until = max((run.ended or site.now() for run in runs), default=0)
-    at_the_limit = any(host == t.host and begin < t.ended and t.sent <= begin + 3.0
-                       and worked_until >= begin + STOP_LIMIT * 5 / 6 for host, begin, _ in site.stops)
-    return at_the_limit or t.ended - t.sent >= time_allowed(site, t)
+    processed_until = max((run.ended or site.now() for run in runs), default=0)
+    is_stop_ending = any(host == t.host and begin < t.ended and t.sent <= begin + 3.0
+                         and processed_until >= begin + STOP_LIMIT * 5 / 6 for host, begin, _ in site.stops)
+    return is_stop_ending or t.ended - t.sent >= time_limit(site, t)
 
 
-def planned_work(site, t):
-    """What was planned at the request's host while it was open, or None."""
+def planned_operation(site, t):
+    """Describes the planned operation at the request's host while it was open, or returns None."""
     for host, begin, end in site.stops:
         if host == t.host and begin < t.ended and t.sent < min(end, begin + STOP_LIMIT + 1.0):
             return f"{t.ended - begin:.2f} s after a planned stop began"
@@ -198,26 +200,26 @@
 def planned_work_loses_nothing(site):
     by_id = runs_by_id(site)
     found = []
-    for t in filter(is_cut, site.told):
+    for t in filter(is_cut, site.requests):
         runs = by_id.get(t.id, [])
-        planned = planned_work(site, t)
-        was_read = runs or t.ended - t.sent > LOSS_SLACK
+        planned = planned_operation(site, t)
+        was_read = runs or t.ended - t.sent > READ_DELAY
         if planned and was_read and not may_be_cut(site, t, runs):
-            ran = "ran" if runs else "didn't run"
+            ran = "ran" if runs else "did not run"
             found.append(f"{t.id} ({t.path}) at {t.host}, {t.ended - t.sent:.2f} s old, {ran}, was cut {planned}")
     return found
 
 
 def closed_too_soon(site, after_pause):
-    """Requests sent soon after an answer that allowed them, or after the connection was opened, but not taken."""
+    """Requests lost on a connection that was opened, or whose previous answer was complete, within REUSE_TIME."""
     found = []
-    for t in filter(is_cut, site.told):
-        # Whoever connects as the process ends may be too late.
-        late = any(host == t.host and min(end, begin + STOP_LIMIT) - 0.5 < t.ended < end + SLACK
-                   for host, begin, end in site.stops)
-        calm = not late and not site.harmed(t.sent - 1.0, t.ended)
-        if t.status is None and t.rested < SOON and t.after_pause == after_pause and calm:
-            found.append(f"{t.id} ({t.path}) at {t.host} was cut, sent {t.rested:.3f} s after the answer before")
+    for t in filter(is_cut, site.requests):
+        # A caller that connects while the process ends may be too late.
+        is_late = any(host == t.host and min(end, begin + STOP_LIMIT) - 0.5 < t.ended < end + SCHEDULING_SLACK
+                      for host, begin, end in site.stops)
+        is_fault_free = not is_late and not site.had_fault(t.sent - 1.0, t.ended)
+        if t.status is None and t.idle_time < REUSE_TIME and t.after_paused_read == after_pause and is_fault_free:
+            found.append(f"{t.id} ({t.path}) at {t.host} was cut, sent {t.idle_time:.3f} s after the previous answer")
     return found
 
 
@@ -226,22 +228,22 @@
 
 
 def connections_of_paused_readers_are_kept(site):
-    """Their idle limit begins when they have the answer, not when the system has taken it."""
+    """The idle limit starts when the caller has the answer, not when the system has buffered it."""
     return closed_too_soon(site, True)
 
 
 def slow_readers_get_all(site):
     by_id = runs_by_id(site)
     return [
-        f"{t.id} at {t.host} was cut {t.ended - t.sent:.2f} s after it was sent, its caller pausing"
-        for t in site.told
+        f"{t.id} at {t.host} was cut {t.ended - t.sent:.2f} s after it was sent, while its caller paused"
+        for t in site.requests
         if t.path.startswith("/big/") and is_cut(t) and t.status and not may_be_cut(site, t, by_id.get(t.id, []))
     ]
 
 
 def requests_are_answered(site):
-    served = sum(t.status == 200 and t.whole for t in site.told)
-    return [] if served > len(site.told) / 4 else [f"{served} of {len(site.told)} were served"]
+    served = sum(t.status == 200 and t.complete for t in site.requests)
+    return [] if served > len(site.requests) / 4 else [f"{served} of {len(site.requests)} were served"]
 
 
 ALL = (
@@ -260,5 +262,5 @@
     requests_are_answered,
 )
 
-# Checks of faults that are not mended yet: KNOWN-RED.txt.
+# Checks that fail because of known faults, listed in KNOWN-RED.txt.
 KNOWN_RED = (connections_of_paused_readers_are_kept,)
--- a/tools/soak/engine.py
+++ b/tools/soak/engine.py
@@ -1,17 +1,17 @@
-"""Upstreams that note what they ran, and fail as the schedule says."""
+"""Upstreams that record what they execute and fail as scheduled."""
 
 import asyncio
 import random
 import time
 
-from .http import answer, quietly, read_body, read_head
+from .http import ignore_errors, make_response, read_body, read_head
 
-SOUND, GREY, HANG, FULL = "sound", "grey", "hang", "full"
+HEALTHY, FLAKY, HANG, FULL = "sound", "grey", "hang", "full"
 BIG_ANSWER_BYTES = 3_000_000
 
 
 def event_count(path):
-    """Streams have 20 events; a long one says how many, 0.1 s apart."""
+    """The number of events of a stream: 20, or for a /long/ path its last number, 0.1 s apart."""
     return int(path.rpartition("/")[2]) if path.startswith("/long/") else 20
 
 
@@ -21,7 +21,7 @@
 
 
 class Run:
-    """One run of a request by an upstream."""
+    """One execution of a request by an upstream."""
 
     def __init__(self, request_id, path, engine, service, key_team):
         self.id = request_id
@@ -31,8 +31,8 @@
         self.team = key_team
         self.began = time.monotonic()
         self.ended = None
-        # The upstream ended its connection in the middle.
-        self.broke_off = False
+        # The upstream closed the connection before the answer was complete.
+        self.upstream_aborted = False
         self.resumed_after = 0
 
 
@@ -41,14 +41,14 @@
         self.name = name
         self.service = service
         self.runs = runs
-        self.mode = SOUND
-        self.born = 1
+        self.mode = HEALTHY
+        self.incarnation = 1
         self.random = random.Random(seed)
         self.server = None
         self.port = port
         self.writers = set()
         self.arrivals = []
-        # Requests a second that it says it takes; None: as many as come.
+        # Advertised limit in requests per second; None: no limit.
         self.limit = None
 
     async def start(self):
@@ -59,7 +59,7 @@
         self.server.close()
         self.server = None
         for run in self.runs:
-            run.broke_off |= run.engine == self.name and run.ended is None
+            run.upstream_aborted |= run.engine == self.name and run.ended is None
         for writer in list(self.writers):
             writer.transport.abort()
 
@@ -82,44 +82,44 @@
         if self.limit is not None:
             mark.append(f"Server-Limit: {self.limit}")
         if headers.get("expect-instance") != self.name:
-            writer.write(answer(421, b"", mark + [f"Instance-Id: {self.name}"]))
+            writer.write(make_response(421, b"", mark + [f"Instance-Id: {self.name}"]))
             return True
         self.arrivals.append((time.monotonic(), request_id))
         if self.mode == FULL:
-            writer.write(answer(503, b"", mark + ["Not-Executed: 1"]))
+            writer.write(make_response(503, b"", mark + ["Not-Executed: 1"]))
             return True
         run = Run(request_id, path, self.name, self.service, headers.get("tenant"))
         self.runs.append(run)
-        watcher = asyncio.ensure_future(self.watch_end(reader, run))
+        watcher = asyncio.ensure_future(self.watch_disconnect(reader, run))
         try:
-            return await self.work(run, path, headers, mark, writer)
+            return await self.execute(run, path, headers, mark, writer)
         finally:
             watcher.cancel()
             if run.ended is None:
                 run.ended = time.monotonic()
 
-    async def watch_end(self, reader, run):
-        """Notes when the host ends the connection in the middle of work."""
+    async def watch_disconnect(self, reader, run):
+        """Records when the host closes the connection during the execution."""
         while not reader.at_eof():
             await asyncio.sleep(0.02)
         run.ended = time.monotonic()
 
-    async def work(self, run, path, headers, mark, writer):
+    async def execute(self, run, path, headers, mark, writer):
         if self.mode == HANG:
             await asyncio.sleep(3600)
-        if self.mode == GREY and self.random.random() < 0.5:
+        if self.mode == FLAKY and self.random.random() < 0.5:
             if self.random.random() < 0.5:
-                run.broke_off = True
+                run.upstream_aborted = True
                 writer.transport.abort()
                 return False
-            writer.write(answer(500, b"oops", mark + ["Response-Seal: x"]))
+            writer.write(make_response(500, b"oops", mark + ["Response-Seal: x"]))
             return True
         mark = mark + [f"Response-Seal: {self.name}"]
         if not path.startswith(("/stream/", "/resume/", "/long/")):
-            # A slow request says in its path how many milliseconds it takes.
+            # The path of a slow request contains its duration in milliseconds.
             await asyncio.sleep(int(path[6:]) / 1000 if path.startswith("/slow/") else 0.01)
-            writer.write(answer(200, plain_answer(path, run.id).encode(), mark))
-            await quietly(writer.drain())
+            writer.write(make_response(200, plain_answer(path, run.id).encode(), mark))
+            await ignore_errors(writer.drain())
             return True
         lines = ["HTTP/1.1 200 OK", "Transfer-Encoding: chunked", *mark, "", ""]
         writer.write("\r\n".join(lines).encode())
@@ -130,6 +130,6 @@
                 return False
             event = f"id: {number}\ndata: {run.id} {number}\n\n".encode()
             writer.write(f"{len(event):x}\r\n".encode() + event + b"\r\n")
-            await quietly(writer.drain())
+            await ignore_errors(writer.drain())
         writer.write(b"0\r\n\r\n")
         return True
--- a/tools/soak/http.py
+++ b/tools/soak/http.py
@@ -1,10 +1,10 @@
-"""The little HTTP that the stand-ins and callers of the soak speak."""
+"""Minimal HTTP/1.1 for the upstreams and callers of the soak."""
 
 import asyncio
 
 
 async def read_head(reader):
-    """The first line and the headers (names in lower case), or None at the end."""
+    """The first line and the headers (names in lower case), or None at the end of the connection."""
     line = await reader.readline()
     if not line:
         return None
@@ -20,7 +20,7 @@
 
 
 async def read_body(reader, headers, pause=0):
-    """The body as bytes, with a pause in the middle; raises IncompleteReadError if it breaks off."""
+    """The body as bytes, with a pause in the middle; raises IncompleteReadError if the connection ends early."""
     if headers.get("transfer-encoding", "").lower() == "chunked":
         body = b""
         while True:
@@ -32,18 +32,18 @@
     size = int(headers.get("content-length", "0"))
     if not pause:
         return await reader.readexactly(size)
-    begun = await reader.readexactly(size // 4)
+    first_part = await reader.readexactly(size // 4)
     await asyncio.sleep(pause)
-    return begun + await reader.readexactly(size - size // 4)
+    return first_part + await reader.readexactly(size - size // 4)
 
 
-def answer(status, body=b"", headers=()):
+def make_response(status, body=b"", headers=()):
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-async def quietly(task):
-    """Waits for a task whose connection may have broken."""
+async def ignore_errors(task):
+    """Awaits a task and ignores errors of its connection."""
     try:
         return await task
     except (ConnectionError, asyncio.IncompleteReadError, asyncio.TimeoutError, ValueError):
--- a/tools/soak/ports.py
+++ b/tools/soak/ports.py
@@ -1,9 +1,9 @@
-"""Ports that stay a run's own while its hosts stop and start.
+"""Ports that stay reserved for a run while its hosts restart.
 
-A port that the kernel has just had free may go to any other process before a
-host listens on it again, and two runs side by side then talk to each other.
-These ports lie below those that the kernel hands out, in blocks; a run keeps
-a block by listening on its first port."""
+The kernel may assign a free ephemeral port to another process before a host
+listens on it again, and two concurrent runs then talk to each other. These
+ports are below the ephemeral range, in blocks. A run reserves a block by
+listening on its first port."""
 
 import os
 import socket
@@ -25,10 +25,10 @@
                 continue
             self.next = base
             return
-        raise RuntimeError("no block of ports is free: run fewer soaks at once")
+        raise RuntimeError("no block of ports is free; run fewer soaks concurrently")
 
-    def take(self):
-        """The next port that nobody listens on."""
+    def allocate(self):
+        """Returns the next free port."""
         while True:
             self.next += 1
             with socket.socket() as probe:
--- a/tools/soak/site.py
+++ b/tools/soak/site.py
@@ -1,4 +1,4 @@
-"""Hosts as real processes, with stand-ins around them and proxies between."""
+"""Hosts as real processes, connected to simulated upstreams and a store through proxies."""
 
 import asyncio
 import json
@@ -23,7 +23,7 @@
         self.settings_path = os.path.join(folder, f"{name}.flags")
         with open(self.settings_path, "w", encoding="utf-8") as settings:
             settings.write("--stop_limit=8s\n")
-        self.listen, self.admin, self.peer = ports.take(), ports.take(), ports.take()
+        self.listen, self.admin, self.peer = ports.allocate(), ports.allocate(), ports.allocate()
         self.front = FaultProxy(self.listen)
         self.store_path = None
         self.process = None
@@ -40,7 +40,7 @@
             f"--config={self.settings_path}", *flags,
         ]
         if self.is_running():
-            # Two faults overlap, and the other one has started it.
+            # Another, overlapping fault has already started it.
             return
         self.is_stopping = False
         with open(self.log_path, "ab") as log:
@@ -49,7 +49,7 @@
     def is_running(self):
         return self.process is not None and self.process.poll() is None
 
-    def send(self, number):
+    def send_signal(self, number):
         if self.is_running():
             self.process.send_signal(number)
 
@@ -65,17 +65,17 @@
 
 
 class Site:
-    """Everything of one run, and what was seen."""
+    """The processes and servers of one run, and the records of what happened."""
 
     def __init__(self, rng, program, folder, hosts, engines, flags=()):
         self.random = rng
         self.store = Store()
-        self.told, self.runs, self.moves, self.stops = [], [], [], []
-        # When each configuration was sent, with its routes' timeout; reloads by host.
+        self.requests, self.runs, self.moves, self.stops = [], [], [], []
+        # (time, route timeout) of each published configuration; (host, time) of each reload.
         self.configurations, self.reloads = [], []
         self.timeout, self.idle_limit = 2.5, 15.0
-        self.revoked, self.left_at, self.harms = {}, {}, []
-        # Each time that an upstream named a limit: which, how much, from and until when.
+        self.revoked_keys, self.drained_at, self.fault_periods = {}, {}, []
+        # (engine, limit, begin, end) of each advertised limit.
         self.limits = []
         self.engines = []
         self.paths = {}
@@ -87,18 +87,18 @@
         self.version = 1
         self.keys = [f"k{n}" for n in range(40)]
         self.booking_service = "s0"
-        self.began = time.monotonic()
-        self.is_over = False
+        self.started = time.monotonic()
+        self.has_ended = False
 
     def now(self):
         return time.monotonic()
 
-    def harm(self, seconds):
-        """A fault begins that may last so long, its after-effects included."""
-        self.harms.append((self.now(), self.now() + seconds))
+    def record_fault(self, seconds):
+        """Records a fault that begins now and lasts `seconds`, including its after-effects."""
+        self.fault_periods.append((self.now(), self.now() + seconds))
 
-    def harmed(self, begin, end):
-        return any(a < end and begin < b for a, b in self.harms)
+    def had_fault(self, begin, end):
+        return any(a < end and begin < b for a, b in self.fault_periods)
 
     def pick_key(self, rng):
         return rng.choice(self.keys)
@@ -115,7 +115,7 @@
              "service": self.booking_service if p == "/book/" else "s0"}
             for p, (kind, attempts) in kinds.items()
         ]
-        alive = [k for k in self.keys if k not in self.revoked]
+        alive = [k for k in self.keys if k not in self.revoked_keys]
         self.configurations.append((self.now(), self.timeout))
         self.store.put("op/config", {
             "version": self.version, "routes": routes, "limits": {"idle_timeout_ms": int(self.idle_limit * 1000)},
@@ -126,12 +126,12 @@
     def register(self, engine, state="ready"):
         self.store.put(f"servers/{engine.name}", {
             "service": engine.service, "address": f"127.0.0.1:{self.paths[engine].port}",
-            "zone": "abc"[len(engine.name) % 3], "slots": 16, "state": state, "born": engine.born,
+            "zone": "abc"[len(engine.name) % 3], "slots": 16, "state": state, "born": engine.incarnation,
         })
 
     async def add_engine(self, service):
         engine = Engine(
-            f"i-{len(self.engines)}", service, self.runs, self.random.random(), self.ports.take()
+            f"i-{len(self.engines)}", service, self.runs, self.random.random(), self.ports.allocate()
         )
         await engine.start()
         self.paths[engine] = FaultProxy(engine.port)
@@ -150,39 +150,39 @@
             host.store_path = FaultProxy(self.store.port)
             await host.store_path.start()
             self.start_host(host)
-        asyncio.ensure_future(self.balance())
+        asyncio.ensure_future(self.poll_readiness())
 
     def start_host(self, host):
-        # A stop that ends as the run does would leave a host behind, which talks to later runs.
-        if not self.is_over:
+        # A stop that completes after the run must not start a host: it would stay and talk to later runs.
+        if not self.has_ended:
             host.start(",".join(f"127.0.0.1:{h.peer}" for h in self.hosts[:3]), self.flags)
 
-    async def balance(self):
-        """Asks each host once a second; two misses take it out of rotation."""
-        misses = {}
+    async def poll_readiness(self):
+        """Polls the readiness of each host once a second. Two failures take it out of rotation."""
+        failures = {}
         while True:
             for host in self.hosts:
                 ready = await host.ask_ready()
-                misses[host] = 0 if ready else misses.get(host, 0) + 1
-                host.is_ready = ready or (host.is_ready and misses[host] < 2)
+                failures[host] = 0 if ready else failures.get(host, 0) + 1
+                host.is_ready = ready or (host.is_ready and failures[host] < 2)
             await asyncio.sleep(1.0)
 
     async def stop_host(self, host):
-        """A planned stop, and a start when the process is gone."""
+        """Stops a host as planned and starts it again when the process has ended."""
         begin = self.now()
-        # Until the process is gone; a run may end before.
+        # The end is infinite until the process has ended; a run may end before.
         self.stops.append([host.name, begin, float("inf")])
         stop = self.stops[-1]
         host.is_stopping = True
-        host.send(signal.SIGTERM)
+        host.send_signal(signal.SIGTERM)
         while host.process.poll() is None and self.now() < begin + 8.5:
             await asyncio.sleep(0.1)
-        host.send(signal.SIGKILL)
+        host.send_signal(signal.SIGKILL)
         stop[2] = self.now()
         self.start_host(host)
 
     def end(self):
-        self.is_over = True
+        self.has_ended = True
         self.ports.lock.close()
         for host in self.hosts:
             if host.process is not None and host.process.poll() is None:
@@ -191,8 +191,8 @@
                 host.process.wait()
 
     def callers(self, count):
-        """Of all kinds, and a few of those that hold a host up."""
-        usual = [Caller(self, self.random, stubborn=n % 5 == 0) for n in range(count)]
-        slow = [Caller(self, self.random, ("/slow/",), stubborn=True) for _ in range(count // 5)]
+        """Callers of all kinds, among them some that delay the stop of a host."""
+        ordinary = [Caller(self, self.random, uses_stopping_hosts=n % 5 == 0) for n in range(count)]
+        slow = [Caller(self, self.random, ("/slow/",), uses_stopping_hosts=True) for _ in range(count // 5)]
         paused = [Caller(self, self.random, ("/big/",)) for _ in range(count // 10)]
-        return usual + slow + paused + [Caller(self, self.random, ("/long/", "/view/")) for _ in range(count // 5)]
+        return ordinary + slow + paused + [Caller(self, self.random, ("/long/", "/view/")) for _ in range(count // 5)]
--- a/tools/soak/store.py
+++ b/tools/soak/store.py
@@ -1,4 +1,4 @@
-"""A read-only key store as the platform gives it, with its faults."""
+"""The platform's read-only key-value store, with injected faults."""
 
 import asyncio
 import base64
@@ -6,7 +6,7 @@
 import time
 from urllib.parse import parse_qs, urlsplit
 
-from .http import answer, read_head
+from .http import make_response, read_head
 
 OK, SILENT, BUSY, SLOW = "ok", "silent", "busy", "slow"
 
@@ -16,7 +16,7 @@
         self.items = {}
         self.log = []
         self.revision = 10
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.mode = OK
         self.changed = asyncio.Event()
         self.port = 0
@@ -43,8 +43,8 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def forget(self):
-        self.forgotten = self.revision
+    def compact(self):
+        self.compacted_revision = self.revision
         self.log.clear()
 
     async def serve(self, reader, writer):
@@ -57,7 +57,7 @@
                 url = urlsplit(head[0].split()[1])
                 query = {k: v[0] for k, v in parse_qs(url.query, True).items()}
                 if self.mode == BUSY:
-                    writer.write(answer(503))
+                    writer.write(make_response(503))
                 elif url.path == "/kv-range":
                     writer.write(self.read_range(query))
                 else:
@@ -69,20 +69,20 @@
     def read_range(self, query):
         keys = sorted(k for k in self.items if k.startswith(query["prefix"]) and k > query.get("after", ""))
         body = {"items": [self.items[k] for k in keys], "more_pages": False, "store_revision": self.revision}
-        return answer(200, json.dumps(body).encode())
+        return make_response(200, json.dumps(body).encode())
 
     async def watch(self, query):
         after = int(query["after"])
         until = time.monotonic() + int(query["wait_ms"]) / 1000
         while True:
-            if after < self.forgotten:
-                return answer(410, b"{}")
+            if after < self.compacted_revision:
+                return make_response(410, b"{}")
             events = [e for e in self.log if e["revision"] > after]
-            left = until - time.monotonic()
-            if events or left <= 0:
+            remaining = until - time.monotonic()
+            if events or remaining <= 0:
                 body = {"events": events, "store_revision": self.revision}
-                return answer(200, json.dumps(body).encode())
+                return make_response(200, json.dumps(body).encode())
             try:
-                await asyncio.wait_for(self.changed.wait(), left)
+                await asyncio.wait_for(self.changed.wait(), remaining)
             except asyncio.TimeoutError:
                 pass
