--- a/tools/quickstart/quickstart.py
+++ b/tools/quickstart/quickstart.py
@@ -1,5 +1,5 @@
 """Starts stand-ins and two hosts on loopback, sends real requests through
-them, and prints what became of each. Exit 0 if all is as promised."""
+them, and prints the result of each. Exits with 0 if all results are correct."""
 
 import http.client
 import json
@@ -22,24 +22,25 @@
     "shop": "otaru-canal-1.3f9d3da19de274370abe11b8",
 }
 MODEL = "cellar-drafter"
-PATIENCE_S = 10
+TIMEOUT_S = 10
 
 
 class Process:
-    """A program of this repo, its output in a file, its ports read from it."""
+    """A program of this repository. Its output goes to a log file, from which
+    its ports are read."""
 
-    def __init__(self, folder, name, words):
+    def __init__(self, folder, name, command):
         self.name = name
         self.log = folder / f"{name}.log"
         with open(self.log, "wb") as out:
             self.child = subprocess.Popen(
-                [str(word) for word in words], stdout=out, stderr=out
+                [str(part) for part in command], stdout=out, stderr=out
             )
 
     def port(self, field):
         pattern = re.compile(rf"event=listening .*\b{field}=(\d+)")
-        limit = time.monotonic() + PATIENCE_S
-        while time.monotonic() < limit:
+        deadline = time.monotonic() + TIMEOUT_S
+        while time.monotonic() < deadline:
             found = pattern.search(self.log.read_text())
             if found:
                 return int(found.group(1))
@@ -51,11 +52,11 @@
     def stop(self):
         if self.child.poll() is None:
             self.child.send_signal(signal.SIGTERM)
-        return self.child.wait(PATIENCE_S)
+        return self.child.wait(TIMEOUT_S)
 
 
-def ask(port, method, path, body=None, headers=None):
-    """Status, headers and body of one HTTP call on loopback."""
+def request(port, method, path, body=None, headers=None):
+    """Returns status, headers and body of one HTTP call on loopback."""
     connection = http.client.HTTPConnection("127.0.0.1", port, timeout=30)
     connection.request(method, path, body, headers or {})
     answer = connection.getresponse()
@@ -114,22 +115,22 @@
         "name": host.name, "region": "doo-west", "data_centre": "otaru-a",
         "callers": address(host.port("callers_port")),
         "peers": address(host.port("peer_port"))} for host in hosts]}
-    ask(platform_port, "PUT", "/control/values/hosts", json.dumps(listed))
+    request(platform_port, "PUT", "/control/values/hosts", json.dumps(listed))
 
 
 def wait_until(done, what):
-    limit = time.monotonic() + PATIENCE_S
-    while time.monotonic() < limit:
+    deadline = time.monotonic() + TIMEOUT_S
+    while time.monotonic() < deadline:
         if done():
             return
         time.sleep(0.02)
-    raise SystemExit(f"gave up waiting until {what}")
+    raise SystemExit(f"timed out waiting until {what}")
 
 
-def sees_both(host):
-    status, _, text = ask(host.port("admin_port"), "GET", "/status")
+def sees_both_hosts(host):
+    status, _, text = request(host.port("admin_port"), "GET", "/status")
     alive = json.loads(text).get("hosts", {}) if status == 200 else {}
-    ready, _, _ = ask(host.port("admin_port"), "GET", "/readyz")
+    ready, _, _ = request(host.port("admin_port"), "GET", "/readyz")
     return ready == 200 and list(alive.values()).count("alive") == 2
 
 
@@ -137,23 +138,23 @@
     body = json.dumps({
         "model": MODEL, "stream": True, "max_tokens": tokens,
         "messages": [{"role": "user", "content": f"A letter for {tier}."}]})
-    begun = time.monotonic()
-    status, headers, text = ask(
+    started = time.monotonic()
+    status, headers, text = request(
         port, "POST", "/v1/chat/completions", body,
         {"Authorization": f"Bearer {KEYS[tier]}"})
     numbers = [int(n) for n in re.findall(r'"content":"t(\d+)-', text)]
-    whole = numbers == list(range(tokens)) and "data: [DONE]" in text
+    is_complete = numbers == list(range(tokens)) and "data: [DONE]" in text
     rows.append({
         "what": f"{tier} stream of {tokens} tokens", "status": status,
-        "outcome": "ran, whole" if whole else "cut off",
-        "seconds": time.monotonic() - begun, "sound": whole,
+        "outcome": "ran, whole" if is_complete else "cut off",
+        "seconds": time.monotonic() - started, "sound": is_complete,
         "id": headers["caperjunction-request-id"]})
 
 
 def run_streams(ports, tiers, tokens, rows):
     threads = []
-    for number, tier in enumerate(tiers):
-        port = ports[number % len(ports)]
+    for index, tier in enumerate(tiers):
+        port = ports[index % len(ports)]
         thread = threading.Thread(
             target=stream, args=(port, tier, tokens, rows))
         thread.start()
@@ -161,15 +162,16 @@
     return threads
 
 
-def book(port, key, rows, sound):
-    begun = time.monotonic()
-    status, headers, text = ask(
+def book(port, key, rows, is_correct):
+    started = time.monotonic()
+    status, headers, text = request(
         port, "POST", "/services/ledger/reservations", '{"cases": 1}',
         {"Authorization": f"Bearer {KEYS['desk']}", "Idempotency-Key": key})
     outcome = headers["caperjunction-outcome"]
     rows.append({
         "what": f"booking {key}", "status": status, "outcome": outcome,
-        "seconds": time.monotonic() - begun, "sound": sound(outcome, text),
+        "seconds": time.monotonic() - started,
+        "sound": is_correct(outcome, text),
         "id": headers["caperjunction-request-id"]})
     return text
 
@@ -181,15 +183,15 @@
               f"{row['seconds']:>8.2f}{'' if row['sound'] else '  WRONG'}")
 
 
-def show_trail(port, request_id):
-    print("\ntrail of the first request:")
+def print_explanation(port, request_id):
+    print("\nexplanation of the first booking:")
     sys.stdout.flush()
     subprocess.run(
         [BIN / "caperjunction", "explain", request_id,
          f"--admin=127.0.0.1:{port}"], check=False)
 
 
-def try_all(folder, processes):
+def run_requests(folder, processes):
     engines, ledger, listed = start_upstreams(folder)
     processes += engines + [ledger]
     platform = start_platform(folder, listed)
@@ -198,7 +200,7 @@
     hosts = [start_host(folder, n, platform_port) for n in (1, 2)]
     processes += hosts
     publish_hosts(platform_port, hosts)
-    wait_until(lambda: all(sees_both(host) for host in hosts),
+    wait_until(lambda: all(sees_both_hosts(host) for host in hosts),
                "both hosts see each other")
     ports = [host.port("callers_port") for host in hosts]
 
@@ -208,9 +210,9 @@
     first = book(ports[0], "order-1", rows, lambda o, _: o == "ran")
     book(ports[1], "order-1", rows,
          lambda o, text: o == "ran" and text == first)
-    _, _, executed = ask(
+    _, _, executed = request(
         ledger.port("port"), "GET", "/control/executions")
-    once = json.loads(executed).get("order-1") == 1
+    runs_once = json.loads(executed).get("order-1") == 1
 
     running = run_streams([ports[1]], list(KEYS), 60, rows)
     time.sleep(0.2)
@@ -222,9 +224,9 @@
     print(f"\nthe repeated booking was executed "
           f"{json.loads(executed).get('order-1')} time(s)")
     print(f"host-2 was stopped while it streamed; exit status {status}")
-    show_trail(hosts[0].port("admin_port"), next(
+    print_explanation(hosts[0].port("admin_port"), next(
         row["id"] for row in rows if row["what"].startswith("booking")))
-    return once and status == 0 and all(row["sound"] for row in rows)
+    return runs_once and status == 0 and all(row["sound"] for row in rows)
 
 
 def main():
@@ -232,16 +234,16 @@
     with tempfile.TemporaryDirectory() as name:
         folder = pathlib.Path(name)
         try:
-            sound = try_all(folder, processes)
+            is_correct = run_requests(folder, processes)
         finally:
             for process in reversed(processes):
                 process.stop()
-        if not sound:
+        if not is_correct:
             for process in processes:
                 if process.name.startswith("host"):
                     print(process.log.read_text(), file=sys.stderr)
-    print("\nall as promised" if sound else "\nNOT as promised")
-    return 0 if sound else 1
+    print("\nall as promised" if is_correct else "\nNOT as promised")
+    return 0 if is_correct else 1
 
 
 if __name__ == "__main__":
