--- a/tests/report/report_test.py
+++ b/tests/report/report_test.py
@@ -1,4 +1,4 @@
-"""The report's arithmetic, and that its page needs nothing else."""
+"""Tests the report's arithmetic and that its page is self-contained."""
 
 import json
 import pathlib
@@ -41,10 +41,10 @@
 
     def test_promise_is_kept_exactly_when_the_bar_reaches_its_line(self):
         scale = chart.NinesScale(0, 100)
-        self.assertLess(scale.place(0.96), scale.place(0.95))
-        self.assertLess(scale.place(0.95), scale.place(0.94))
-        self.assertEqual(scale.place(0), 100)
-        self.assertAlmostEqual(scale.place(1), 0)
+        self.assertLess(scale.position(0.96), scale.position(0.95))
+        self.assertLess(scale.position(0.95), scale.position(0.94))
+        self.assertEqual(scale.position(0), 100)
+        self.assertAlmostEqual(scale.position(1), 0)
 
     def test_a_benchmark_varies_one_dimension_at_a_time(self):
         rows = [("f", {"engines": engines, "queued": queued}, 1.0)
@@ -60,21 +60,21 @@
                                 "time_unit": "us"}]}
         self.assertEqual(list(core.read(data)), [("f", {"size": 7}, 2000)])
 
-    def test_reach_is_judged_on_both_sides(self):
-        self.assertTrue(relay.within(0.3, (None, 0.3)))
-        self.assertFalse(relay.within(0.31, (None, 0.3)))
-        self.assertFalse(relay.within(99_999, (100_000, None)))
+    def test_targets_are_checked_on_both_sides(self):
+        self.assertTrue(relay.is_within(0.3, (None, 0.3)))
+        self.assertFalse(relay.is_within(0.31, (None, 0.3)))
+        self.assertFalse(relay.is_within(99_999, (100_000, None)))
 
-    def test_page_is_self_contained_and_tells_what_was_not_run(self):
-        page, told = make_page({"policy_bench": [RUN]})
-        self.assertIn("not_run=relay_bench,core_bench,booking_bench", told)
+    def test_page_is_self_contained_and_lists_what_was_not_run(self):
+        page, output = make_page({"policy_bench": [RUN]})
+        self.assertIn("not_run=relay_bench,core_bench,booking_bench", output)
         self.assertIn("Not run for this page: relay_bench", page)
         self.assertIn("a&lt;b", page)
         self.assertIsNone(re.search(r"(src|href)=|@import|<script", page))
 
     def test_an_empty_folder_gives_a_page_without_sections(self):
-        page, told = make_page({})
-        self.assertIn("sections=0", told)
+        page, output = make_page({})
+        self.assertIn("sections=0", output)
         self.assertNotIn("<h2>", page)
 
 
--- a/tools/report/__init__.py
+++ b/tools/report/__init__.py
@@ -1,1 +1,1 @@
-"""Turns the benches' JSON into one HTML page that needs nothing else."""
+"""Renders the JSON results of the benchmarks as a self-contained HTML page."""
--- a/tools/report/__main__.py
+++ b/tools/report/__main__.py
@@ -1,7 +1,7 @@
 """usage: python3 -m tools.report PAGE.html SOURCE FOLDER
 
-Reads FOLDER/<bench>.json for each bench that is there and writes one page.
-SOURCE is a line that tells what was measured and where.
+Reads FOLDER/<bench>.json of each benchmark that was run and writes one page.
+SOURCE is a line that states what was measured and where.
 """
 
 import json
@@ -10,7 +10,7 @@
 
 from . import claims, core, fleet, page, policy, relay
 
-BENCHES = {
+BENCHMARKS = {
     "policy_bench": policy.render,
     "relay_bench": relay.render,
     "core_bench": core.render_decisions,
@@ -26,7 +26,7 @@
         return 2
     target, source, folder = arguments
     sections, missing = [], []
-    for name, render in BENCHES.items():
+    for name, render in BENCHMARKS.items():
         file = pathlib.Path(folder) / f"{name}.json"
         if not file.exists():
             missing.append(name)
--- a/tools/report/chart.py
+++ b/tools/report/chart.py
@@ -1,4 +1,4 @@
-"""Charts as SVG text: grouped bars and lines, drawn without a library."""
+"""Bar charts and line charts as SVG text, without a library."""
 
 import math
 from html import escape
@@ -19,7 +19,8 @@
 
 
 def short(number):
-    """A number for an axis or a cell, with three digits that matter."""
+    """Formats a number for an axis or a cell with three or more significant
+    digits; numbers below 0.01 get two."""
     if number == 0:
         return "0"
     if abs(number) >= 1_000_000:
@@ -31,8 +32,9 @@
     return f"{number:.1e}"
 
 
-def nice_top(value):
-    """The least of 1, 2, 2.5, 4, 5 times a power of ten not below value."""
+def axis_maximum(value):
+    """Returns the smallest of 1, 2, 2.5, 4, 5 times a power of ten that is
+    not below value."""
     if value <= 0:
         return 1.0
     power = 10 ** math.floor(math.log10(value))
@@ -43,13 +45,13 @@
 
 
 class Scale:
-    """Maps values to heights, linear from zero or by logarithm."""
+    """Maps values to coordinates, linearly or logarithmically."""
 
     def __init__(self, low, high, top, bottom, log=False):
         self.low, self.high, self.log = low, high, log
         self.top, self.bottom = top, bottom
 
-    def place(self, value):
+    def position(self, value):
         if self.log:
             value = max(value, self.low)
             share = (math.log(value / self.low)
@@ -68,18 +70,19 @@
 
 
 class NinesScale(Scale):
-    """Shares from 0 to 1 by the logarithm of what is missing, so that 0.99
-    and 0.999 are as far apart as 0.9 and 0.99; all above 0.999 is at the top.
+    """Maps ratios from 0 to 1 by the logarithm of their difference to 1, so
+    that 0.99 and 0.999 are as far apart as 0.9 and 0.99. All ratios above
+    0.999 are at the top.
     """
 
-    LEAST_MISSING = 0.001
+    MIN_DIFFERENCE = 0.001
 
     def __init__(self, top, bottom):
         super().__init__(0, 1, top, bottom)
 
-    def place(self, value):
-        missing = max(1 - value, self.LEAST_MISSING)
-        share = math.log(missing) / math.log(self.LEAST_MISSING)
+    def position(self, value):
+        difference = max(1 - value, self.MIN_DIFFERENCE)
+        share = math.log(difference) / math.log(self.MIN_DIFFERENCE)
         return self.bottom - share * (self.bottom - self.top)
 
     def ticks(self):
@@ -98,7 +101,7 @@
              f'height="{height}" role="img" aria-label="{escape(title)}">',
              text(LEFT, 16, title, "start", 12, 'font-weight="600"')]
     for tick in scale.ticks():
-        y = scale.place(tick)
+        y = scale.position(tick)
         parts.append(line(LEFT, y, width - RIGHT, y))
         parts.append(text(LEFT - 6, y + 4, short(tick), "end", 10))
     return parts
@@ -106,43 +109,44 @@
 
 def bars(title, groups, series, values, marks=None, width=540, height=230,
          log=False, nines=False):
-    """Grouped bars with a whisker from the least to the greatest value.
+    """Grouped bars of mean values, with whiskers from minimum to maximum.
 
-    values[(group, name)] is a list of values, one of each run; marks[group]
+    values[(group, name)] is a list with one value for each run. marks[group]
     is drawn as a line across the group.
     """
-    every = [value for run in values.values() for value in run]
+    all_values = [value for run in values.values() for value in run]
     bottom = height - BOTTOM
     if log:
-        scale = log_scale(every, TOP, bottom)
+        scale = log_scale(all_values, TOP, bottom)
     elif nines:
         scale = NinesScale(TOP, bottom)
     else:
-        scale = Scale(0, nice_top(max(every, default=1)), TOP, bottom)
+        scale = Scale(0, axis_maximum(max(all_values, default=1)), TOP, bottom)
     parts = frame(width, height, title, scale)
-    room = (width - LEFT - RIGHT) / max(len(groups), 1)
-    bar = room * 0.8 / max(len(series), 1)
+    group_width = (width - LEFT - RIGHT) / max(len(groups), 1)
+    bar = group_width * 0.8 / max(len(series), 1)
     for index, group in enumerate(groups):
-        begin = LEFT + room * index + room * 0.1
-        for place, name in enumerate(series):
+        begin = LEFT + group_width * index + group_width * 0.1
+        for position, name in enumerate(series):
             run = values.get((group, name))
             if run:
-                parts += one_bar(begin + bar * place, bar, run, scale,
-                                 COLOURS[place % len(COLOURS)],
-                                 f"{group}, {name}")
+                parts += bar_with_whisker(
+                    begin + bar * position, bar, run, scale,
+                    COLOURS[position % len(COLOURS)], f"{group}, {name}")
         if marks and group in marks:
-            y = scale.place(marks[group])
-            parts.append(line(begin - 3, y, begin + room * 0.8 + 3, y,
+            y = scale.position(marks[group])
+            parts.append(line(begin - 3, y, begin + group_width * 0.8 + 3, y,
                               "#111", 1.6))
-        parts.append(label(begin + room * 0.4, bottom + 15, group, room))
+        parts.append(label(begin + group_width * 0.4, bottom + 15, group,
+                           group_width))
     parts.append(line(LEFT, bottom, width - RIGHT, bottom, "#555"))
     parts.append("</svg>")
     return "".join(parts)
 
 
-def one_bar(x, width, run, scale, colour, name):
+def bar_with_whisker(x, width, run, scale, colour, name):
     mean = sum(run) / len(run)
-    y, floor = scale.place(mean), scale.bottom
+    y, floor = scale.position(mean), scale.bottom
     middle = x + width / 2
     tip = escape(f"{name}: {short(mean)} "
                  f"({short(min(run))} to {short(max(run))})")
@@ -150,16 +154,16 @@
              f'height="{max(floor - y, 0.5):.1f}" fill="{colour}">'
              f'<title>{tip}</title></rect>']
     if max(run) > min(run):
-        parts.append(line(middle, scale.place(min(run)), middle,
-                          scale.place(max(run)), "#333"))
+        parts.append(line(middle, scale.position(min(run)), middle,
+                          scale.position(max(run)), "#333"))
     return parts
 
 
-def label(x, y, words, room):
-    """A group's name below the axis, over two lines if it is long."""
+def label(x, y, words, group_width):
+    """A group's name below the axis, on two lines if it is long."""
     size = 10
     names = str(words).replace("_", " ").split(" ")
-    if len(names) > 1 and len(str(words)) * size * 0.55 > room:
+    if len(names) > 1 and len(str(words)) * size * 0.55 > group_width:
         half = (len(names) + 1) // 2
         return (text(x, y, " ".join(names[:half]), size=size)
                 + text(x, y + 12, " ".join(names[half:]), size=size))
@@ -167,39 +171,39 @@
 
 
 def lines(title, unit, series, axis="hosts", width=540, height=250):
-    """Values over a count, both by logarithm; series[name] is a list of
-    (count, value) pairs."""
+    """Values over a count, both on logarithmic axes. series[name] is a list
+    of (count, value) pairs."""
     points = [pair for pairs in series.values() for pair in pairs]
     counts = sorted({count for count, _ in points})
     if len(counts) < 2:
         raise ValueError(f"{title}: a curve needs two counts")
     scale = log_scale([value for _, value in points], TOP, height - BOTTOM)
     parts = frame(width, height, f"{title} ({unit})", scale)
-    across = Scale(counts[0], counts[-1], width - RIGHT - 12, LEFT + 12,
-                   log=True)
+    x_scale = Scale(counts[0], counts[-1], width - RIGHT - 12, LEFT + 12,
+                    log=True)
     for count in counts:
-        parts.append(text(across.place(count), height - BOTTOM + 15,
+        parts.append(text(x_scale.position(count), height - BOTTOM + 15,
                           f"{count:,}"))
     parts.append(text((LEFT + width) / 2, height - 12, axis, size=10))
-    for place, (name, pairs) in enumerate(series.items()):
-        colour = COLOURS[place % len(COLOURS)]
-        path = " ".join(f"{across.place(c):.1f},{scale.place(v):.1f}"
+    for position, (name, pairs) in enumerate(series.items()):
+        colour = COLOURS[position % len(COLOURS)]
+        path = " ".join(f"{x_scale.position(c):.1f},{scale.position(v):.1f}"
                         for c, v in sorted(pairs))
         parts.append(f'<polyline points="{path}" fill="none" '
                      f'stroke="{colour}" stroke-width="2"/>')
         for count, value in pairs:
             tip = escape(f"{name}, {count:,} {axis}: {short(value)} {unit}")
-            parts.append(f'<circle cx="{across.place(count):.1f}" '
-                         f'cy="{scale.place(value):.1f}" r="3.5" '
+            parts.append(f'<circle cx="{x_scale.position(count):.1f}" '
+                         f'cy="{scale.position(value):.1f}" r="3.5" '
                          f'fill="{colour}"><title>{tip}</title></circle>')
     parts.append("</svg>")
     return "".join(parts)
 
 
 def legend(names, mark=None):
-    items = [f'<span><i style="background:{COLOURS[place % len(COLOURS)]}">'
+    items = [f'<span><i style="background:{COLOURS[position % len(COLOURS)]}">'
              f'</i>{escape(str(name))}</span>'
-             for place, name in enumerate(names)]
+             for position, name in enumerate(names)]
     if mark:
         items.append(f'<span><b class="mark"></b>{escape(mark)}</span>')
     return f'<p class="legend">{"".join(items)}</p>'
--- a/tools/report/claims.py
+++ b/tools/report/claims.py
@@ -1,4 +1,4 @@
-"""claims_explorer: what was found in all histories that faults allow."""
+"""claims_explorer: findings in all histories that the faults allow."""
 
 from . import page
 
@@ -8,8 +8,8 @@
 def row(name, profile):
     cells = [page.Cell(profile[failure], "bad" if profile[failure] else "good")
              for failure in FAILURES]
-    whole = "all histories" if profile.get("exhaustive") else "a part"
-    return [name, f"{profile['states']:,}", *cells, whole]
+    coverage = "all histories" if profile.get("exhaustive") else "a part"
+    return [name, f"{profile['states']:,}", *cells, coverage]
 
 
 def render(data):
--- a/tools/report/fleet.py
+++ b/tools/report/fleet.py
@@ -1,4 +1,5 @@
-"""fleet_bench: how detection, spread and load grow with the hosts."""
+"""fleet_bench: growth of detection time, propagation and load with the number
+of hosts."""
 
 import re
 
@@ -8,19 +9,19 @@
 TARGET_HOSTS = 400
 
 
-def tidy(setting):
-    """Numbers in a setting's name with the digits that matter."""
+def shorten_numbers(setting):
+    """Rounds the numbers in a setting's name to their significant digits."""
     return re.sub(r"\d+\.\d{3,}",
                   lambda match: chart.short(float(match.group())), setting)
 
 
 def group(rows):
-    """{(scenario, name, unit): {setting: [(hosts, value)]}}"""
+    """Returns {(scenario, name, unit): {setting: [(hosts, value)]}}."""
     groups = {}
     for row in rows:
         key = (row["scenario"], row["name"], row["unit"])
         settings = groups.setdefault(key, {})
-        settings.setdefault(tidy(row["setting"]), []).append(
+        settings.setdefault(shorten_numbers(row["setting"]), []).append(
             (row["hosts"], row["value"]))
     return groups
 
@@ -36,8 +37,8 @@
              if any(value > 0 for _, value in pairs)}
     if not shown:
         return ""
-    picture = chart.lines(f"{scenario}: {name}", unit, shown)
-    return f"<div>{picture}{chart.legend(shown)}</div>"
+    svg = chart.lines(f"{scenario}: {name}", unit, shown)
+    return f"<div>{svg}{chart.legend(shown)}</div>"
 
 
 def slope_rows(curves):
@@ -48,10 +49,10 @@
             if exponent is None:
                 continue
             hosts, value = max(pairs)
-            guess = value * (TARGET_HOSTS / hosts) ** exponent
+            extrapolated = value * (TARGET_HOSTS / hosts) ** exponent
             rows.append([scenario, name, setting, unit,
                          *[chart.short(v) for _, v in sorted(pairs)],
-                         f"{exponent:.2f}", chart.short(guess)])
+                         f"{exponent:.2f}", chart.short(extrapolated)])
     return rows
 
 
@@ -71,12 +72,12 @@
     if curves:
         head = ["scenario", "figure", "setting", "unit",
                 *[f"{size} hosts" for size in sizes], "exponent",
-                f"{TARGET_HOSTS} hosts, if it holds"]
-        content += page.fold("Slopes: exponent of the growth with the hosts",
+                f"{TARGET_HOSTS} hosts, extrapolated"]
+        content += page.fold("Slopes: growth exponents by number of hosts",
                              page.table(head, slope_rows(curves)))
-    content += page.fold("Figures of one size", page.table(
+    content += page.fold("Figures measured at one fleet size", page.table(
         ["scenario", "figure", "setting", "hosts", "value", "unit"], single))
-    note = ("Virtual time, but for processor time. An exponent of 0 means "
+    note = ("Virtual time, except processor times. An exponent of 0 means "
             "that the figure does not grow with the fleet, 1 that it grows "
             "in proportion. The last column is an extrapolation, not a run.")
     return page.section("The fleet", note, content)
--- a/tools/report/page.py
+++ b/tools/report/page.py
@@ -1,4 +1,4 @@
-"""The page around the sections, and its tables."""
+"""The HTML page, its sections and tables."""
 
 from html import escape
 
@@ -25,7 +25,7 @@
 
 
 class Cell:
-    """A table's cell with a verdict: good, bad or none."""
+    """A table cell with a verdict: good, bad or none."""
 
     def __init__(self, words, verdict=""):
         self.words, self.verdict = words, verdict
@@ -56,12 +56,12 @@
 
 
 def document(source, sections, missing):
-    left_out = ""
+    not_run = ""
     if missing:
         names = escape(", ".join(missing))
-        left_out = f'<p class="note">Not run for this page: {names}.</p>'
+        not_run = f'<p class="note">Not run for this page: {names}.</p>'
     return ("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\">"
             f"<title>caperjunction: measurements</title><style>{STYLE}</style>"
             "</head><body><h1>caperjunction: measurements</h1>"
-            f'<p class="note">{escape(source)}</p>{left_out}'
+            f'<p class="note">{escape(source)}</p>{not_run}'
             + "".join(sections) + "</body></html>\n")
--- a/tools/report/policy.py
+++ b/tools/report/policy.py
@@ -1,9 +1,9 @@
-"""policy_bench: attainment, goodput, waste and waits by policy."""
+"""policy_bench: attainment, goodput, wasted work and waits by policy."""
 
 from . import chart, page
 
 
-def ordered(values):
+def unique(values):
     return list(dict.fromkeys(values))
 
 
@@ -23,11 +23,11 @@
 
 
 def attainment(runs, scenario, policies):
-    chosen = [run for run in runs if run["scenario"] == scenario]
-    classes = chosen[0]["classes"]
+    selected = [run for run in runs if run["scenario"] == scenario]
+    classes = selected[0]["classes"]
     return chart.bars(f"{scenario}: attainment by class",
                       [entry["name"] for entry in classes], policies,
-                      class_values(chosen, "attainment"),
+                      class_values(selected, "attainment"),
                       {entry["name"]: entry["promised"] for entry in classes},
                       nines=True)
 
@@ -54,10 +54,10 @@
     rows = []
     for scenario in scenarios:
         for policy in policies:
-            chosen = [run for run in runs if run["scenario"] == scenario
-                      and run["policy"] == policy]
-            if chosen:
-                rows.append(detail_row(scenario, policy, chosen))
+            selected = [run for run in runs if run["scenario"] == scenario
+                        and run["policy"] == policy]
+            if selected:
+                rows.append(detail_row(scenario, policy, selected))
     head = ["scenario", "policy", *names, "goodput", "wasted",
             "cross-region MB", "longest wait s", "violations"]
     return page.table(head, rows)
@@ -65,8 +65,8 @@
 
 def detail_row(scenario, policy, runs):
     cells = []
-    for place, entry in enumerate(runs[0]["classes"]):
-        same = [run["classes"][place] for run in runs]
+    for index, entry in enumerate(runs[0]["classes"]):
+        same = [run["classes"][index] for run in runs]
         low = min(item["attainment"] for item in same)
         fits = all(item.get("fits_share", True) for item in same)
         cells.append(page.Cell(f"{low:.4f}" if fits else f"({low:.4f})",
@@ -81,8 +81,8 @@
 
 
 def deployment(name, runs):
-    scenarios = ordered(run["scenario"] for run in runs)
-    policies = ordered(run["policy"] for run in runs)
+    scenarios = unique(run["scenario"] for run in runs)
+    policies = unique(run["policy"] for run in runs)
     panels = "".join(attainment(runs, scenario, policies)
                      for scenario in scenarios)
     charts = [
@@ -92,23 +92,23 @@
                 "wasted work: share of computed tokens (lower is better)",
                 lambda run: run["wasted_ratio"]),
         summary(runs, scenarios, policies,
-                "longest wait of any class, s (by logarithm)",
+                "longest wait of any class, s (logarithmic)",
                 longest_wait, log=True)]
     return (f"<h3>{name}</h3>" + chart.legend(policies, "promise")
             + f'<div class="grid">{panels}</div>' + "".join(charts)
             + page.fold("Figures, each the worst of its seeds; a class in "
-                        "brackets is asked for more than its tier's share",
+                        "brackets receives more load than its tier's share",
                         details(runs, scenarios, policies)))
 
 
 def render(data):
     runs = data if isinstance(data, list) else [data]
-    seeds = ordered(run["seed"] for run in runs)
+    seeds = unique(run["seed"] for run in runs)
     note = ("Virtual time. Bars are means over the seeds "
-            f"{', '.join(map(str, seeds))}, whiskers go from the least to the "
-            "greatest. A promise is kept where the bar reaches the black line. "
-            "Attainment is drawn by the logarithm of what is missing to 1.")
-    names = ordered(run["deployment"] for run in runs)
+            f"{', '.join(map(str, seeds))}, whiskers show minimum and "
+            "maximum. A promise is kept where the bar reaches the black line. "
+            "Attainment is drawn by the logarithm of its difference to 1.")
+    names = unique(run["deployment"] for run in runs)
     parts = [deployment(name, [run for run in runs
                                if run["deployment"] == name])
              for name in names]
--- a/tools/report/relay.py
+++ b/tools/report/relay.py
@@ -1,9 +1,9 @@
-"""relay_bench: figures of one machine beside their reach."""
+"""relay_bench: figures of one machine and their target ranges."""
 
 from . import chart, page
 
-# The reach of relay_bench: (least, greatest), either may be open.
-REACH = {
+# Target ranges as (minimum, maximum); None: unbounded.
+TARGETS = {
     "added_first_token_p50_ms": (None, 0.3),
     "added_first_token_p99_ms": (None, 2.0),
     "events_per_s_per_core": (100_000, None),
@@ -15,7 +15,7 @@
 
 
 def flatten(data, path=""):
-    """Every number of a JSON value with its path."""
+    """Yields (path, number) for every number in a JSON value."""
     if isinstance(data, bool):
         return
     if isinstance(data, (int, float)):
@@ -29,32 +29,32 @@
             yield from flatten(value, f"{path}[{name}]")
 
 
-def reach_text(reach):
-    least, greatest = reach
-    if least is not None:
-        return f"at least {chart.short(least)}"
-    return f"at most {chart.short(greatest)}"
+def target_text(target):
+    minimum, maximum = target
+    if minimum is not None:
+        return f"at least {chart.short(minimum)}"
+    return f"at most {chart.short(maximum)}"
 
 
-def within(value, reach):
-    least, greatest = reach
-    return ((least is None or value >= least)
-            and (greatest is None or value <= greatest))
+def is_within(value, target):
+    minimum, maximum = target
+    return ((minimum is None or value >= minimum)
+            and (maximum is None or value <= maximum))
 
 
 def rows_of(data):
     for name, value in flatten(data):
-        reach = REACH.get(name)
-        if reach is None:
+        target = TARGETS.get(name)
+        if target is None:
             yield [name, chart.short(value), ""]
         else:
-            verdict = "good" if within(value, reach) else "bad"
+            verdict = "good" if is_within(value, target) else "bad"
             yield [name, page.Cell(chart.short(value), verdict),
-                   reach_text(reach)]
+                   target_text(target)]
 
 
 def render(data):
-    note = ("The router against the same stand-in asked directly, in one run "
-            "on one machine; depends on the machine and its load.")
+    note = ("The router compared with direct requests to the stand-in, in one "
+            "run on one machine; depends on the machine and its load.")
     return page.section("Relaying", note, page.table(
         ["figure", "measured", "reach"], rows_of(data)))
--- a/tools/report/slope.py
+++ b/tools/report/slope.py
@@ -1,15 +1,16 @@
-"""How fast a figure grows."""
+"""Growth exponents."""
 
 import math
 
 
 def slope(pairs):
-    """The exponent of a power law through the points, by least squares."""
+    """Returns the exponent of the power law fitted to the points by least
+    squares, or None if they have fewer than two different counts."""
     points = [(math.log(x), math.log(y)) for x, y in pairs if y > 0]
     if len({x for x, _ in points}) < 2:
         return None
     mean_x = sum(x for x, _ in points) / len(points)
     mean_y = sum(y for _, y in points) / len(points)
-    over = sum((x - mean_x) * (y - mean_y) for x, y in points)
-    under = sum((x - mean_x) ** 2 for x, _ in points)
-    return over / under
+    covariance = sum((x - mean_x) * (y - mean_y) for x, y in points)
+    variance = sum((x - mean_x) ** 2 for x, _ in points)
+    return covariance / variance
