--- a/stand_ins/cache_event_log.cpp
+++ b/stand_ins/cache_event_log.cpp
@@ -23,20 +23,20 @@
 
 std::string cache_event_log::read(std::uint64_t after, time_point now) const
 {
-    std::string text = R"({"events":[)";
+    std::string json = R"({"events":[)";
     bool first = true;
     for (entry const& item : m_entries) {
         if (item.sequence <= after || item.at + m_lag > now) {
             continue;
         }
-        text += first ? "" : ",";
+        json += first ? "" : ",";
         first = false;
-        text += fmt::format(R"({{"seq":{},"block":"{:016x}","kind":"{}"}})",
+        json += fmt::format(R"({{"seq":{},"block":"{:016x}","kind":"{}"}})",
                             item.sequence,
                             item.block,
                             item.stored ? "stored" : "evicted");
     }
-    return text + "]}";
+    return json + "]}";
 }
 
 } // namespace caperjunction::stand_ins
--- a/stand_ins/cache_event_log.hpp
+++ b/stand_ins/cache_event_log.hpp
@@ -8,7 +8,8 @@
 
 namespace caperjunction::stand_ins {
 
-/// The cache events of an engine: readable late, and not all of them.
+/// Log of an engine's prefix cache events. Events become readable only after
+/// a delay, and some are lost, as with a real engine.
 ///
 /// Thread safety: none.
 class cache_event_log
@@ -16,7 +17,8 @@
 public:
     using time_point = std::chrono::steady_clock::time_point;
 
-    /// Each `gap`-th event is lost; 0: none.
+    /// Drops every `gap`-th event; 0 drops none. Each event becomes readable
+    /// `lag` after it was added.
     cache_event_log(std::chrono::milliseconds lag, std::uint32_t gap)
         : m_lag(lag)
         , m_gap(gap)
@@ -24,6 +26,7 @@
     }
 
     void add(std::uint64_t block, bool stored, time_point now);
+    /// Returns the readable events with a sequence number above `after` as
     /// JSON: {"events":[{"seq","block","kind"}]}.
     std::string read(std::uint64_t after, time_point now) const;
 
--- a/stand_ins/child_process.cpp
+++ b/stand_ins/child_process.cpp
@@ -20,8 +20,8 @@
 namespace caperjunction::stand_ins {
 namespace {
 
-constexpr std::chrono::seconds patience{20};
-constexpr std::chrono::milliseconds look_again{5};
+constexpr std::chrono::seconds startup_timeout{20};
+constexpr std::chrono::milliseconds poll_interval{5};
 
 std::string read_file(std::string const& name)
 {
@@ -36,7 +36,7 @@
     std::string name = "/tmp/caperjunction-child-XXXXXX";
     int const file = mkstemp(name.data());
     if (file < 0) {
-        throw std::runtime_error("no output file could be made");
+        throw std::runtime_error("cannot create an output file in /tmp");
     }
     close(file);
     return name;
@@ -45,27 +45,27 @@
 } // namespace
 
 child_process::child_process(std::string const& program,
-                             std::vector<std::string> words)
+                             std::vector<std::string> arguments)
     : m_output_file(make_output_file())
 {
-    words.insert(words.begin(), program);
-    std::vector<char*> arguments;
-    arguments.reserve(words.size() + 1);
-    for (std::string& word : words) {
-        arguments.push_back(word.data());
+    arguments.insert(arguments.begin(), program);
+    std::vector<char*> argv;
+    argv.reserve(arguments.size() + 1);
+    for (std::string& argument : arguments) {
+        argv.push_back(argument.data());
     }
-    arguments.push_back(nullptr);
+    argv.push_back(nullptr);
     posix_spawn_file_actions_t actions{};
     posix_spawn_file_actions_init(&actions);
     for (int const stream : {STDOUT_FILENO, STDERR_FILENO}) {
         posix_spawn_file_actions_addopen(
             &actions, stream, m_output_file.c_str(), O_WRONLY | O_APPEND, 0);
     }
-    int const failed = posix_spawn(
-        &m_pid, program.c_str(), &actions, nullptr, arguments.data(), environ);
+    int const result = posix_spawn(
+        &m_pid, program.c_str(), &actions, nullptr, argv.data(), environ);
     posix_spawn_file_actions_destroy(&actions);
-    if (failed != 0) {
-        throw std::runtime_error(program + " could not be started");
+    if (result != 0) {
+        throw std::runtime_error(program + " cannot be started");
     }
 }
 
@@ -80,26 +80,26 @@
 
 std::uint16_t child_process::port(std::string const& field)
 {
-    std::string const wanted = " " + field + "=";
-    auto const limit = std::chrono::steady_clock::now() + patience;
-    while (std::chrono::steady_clock::now() < limit) {
+    std::string const key = " " + field + "=";
+    auto const deadline = std::chrono::steady_clock::now() + startup_timeout;
+    while (std::chrono::steady_clock::now() < deadline) {
         std::string const text = output();
         std::size_t const line = text.find("event=listening");
         std::size_t const end = text.find('\n', line);
         if (line != std::string::npos && end != std::string::npos) {
-            std::string const found = text.substr(line, end - line);
-            std::size_t const place = found.find(wanted);
-            if (place != std::string::npos) {
+            std::string const listening_line = text.substr(line, end - line);
+            std::size_t const position = listening_line.find(key);
+            if (position != std::string::npos) {
                 return static_cast<std::uint16_t>(
-                    std::stoul(found.substr(place + wanted.size())));
+                    std::stoul(listening_line.substr(position + key.size())));
             }
         }
         if (has_ended()) {
             break;
         }
-        std::this_thread::sleep_for(look_again);
+        std::this_thread::sleep_for(poll_interval);
     }
-    throw std::runtime_error("a program did not come up: " + output());
+    throw std::runtime_error("program did not report its ports: " + output());
 }
 
 std::string child_process::output() const
@@ -134,8 +134,9 @@
 std::chrono::milliseconds child_process::processor_time() const
 {
     std::string const stat = read_file(fmt::format("/proc/{}/stat", m_pid));
-    // The name in parentheses may hold anything; fields are counted from
-    // behind it, where the state is the first.
+    // The second field, the name in parentheses, may contain spaces and
+    // parentheses. Fields are therefore counted from the last parenthesis;
+    // the first one after it is the state.
     std::istringstream fields(stat.substr(stat.rfind(')') + 1));
     std::string skipped;
     constexpr int fields_before_times = 11;
--- a/stand_ins/child_process.hpp
+++ b/stand_ins/child_process.hpp
@@ -10,41 +10,44 @@
 
 namespace caperjunction::stand_ins {
 
-/// One program of this repo, started by a test or a bench. It is killed when
-/// this object goes.
+/// A program of this repository, started by a test or a benchmark. The
+/// destructor kills the process if it is still running.
 ///
 /// Thread safety: none.
 class child_process
 {
 public:
-    /// Starts `program` with `words`; its output goes to a file of its own.
+    /// Starts `program` with `arguments`. Redirects standard output and
+    /// standard error to a temporary file.
     ///
-    /// \throws std::runtime_error if it can't be started.
-    child_process(std::string const& program, std::vector<std::string> words);
+    /// \throws std::runtime_error if the process cannot be started.
+    child_process(std::string const& program,
+                  std::vector<std::string> arguments);
     ~child_process();
     child_process(child_process const&) = delete;
     child_process& operator=(child_process const&) = delete;
 
-    /// The number after `field=` in its line `event=listening`. Waits for
-    /// that line. \throws std::runtime_error with its output if it ends
-    /// before, or takes too long.
+    /// Returns the number after `field=` in the log line `event=listening`,
+    /// which it waits for. \throws std::runtime_error with the output if the
+    /// process ends before that or does not write the line within 20 s.
     std::uint16_t port(std::string const& field);
 
-    /// Everything that it has written so far.
+    /// Returns everything that the process has written so far.
     std::string output() const;
 
     void send_signal(int number) const;
 
-    /// Whether it has ended; doesn't wait.
+    /// Returns whether the process has ended, without blocking.
     bool has_ended();
 
-    /// Its exit status; waits. -1 if a signal ended it.
+    /// Blocks until the process ends and returns its exit status, or -1 if a
+    /// signal ended it.
     int wait();
 
-    /// Processor time that it has used so far.
+    /// Returns the user and system processor time used so far.
     std::chrono::milliseconds processor_time() const;
 
-    /// Memory that it holds now, in bytes.
+    /// Returns the resident memory in bytes.
     std::uint64_t resident_bytes() const;
 
 private:
--- a/stand_ins/engine.cpp
+++ b/stand_ins/engine.cpp
@@ -8,8 +8,9 @@
 namespace {
 
 constexpr double us_per_second = 1e6;
-// What a fully cached prompt still costs of the time to the first token.
-constexpr double cached_cost = 0.2;
+// Share of the time to the first token that remains when the whole prompt is
+// cached.
+constexpr double cached_prefill_share = 0.2;
 
 } // namespace
 
@@ -23,10 +24,10 @@
                   m_cache_events.add(
                       block, stored, std::chrono::steady_clock::now());
               })
-    , m_reaper(base,
-               [this] {
-                   m_ended.clear();
-               })
+    , m_cleanup_timer(base,
+                      [this] {
+                          m_ended.clear();
+                      })
     , m_server(base,
                m_settings.listen,
                [this](std::shared_ptr<exchange> const& call) {
@@ -37,7 +38,8 @@
 
 engine::~engine()
 {
-    // Closing cancels what runs, which must not start what waits.
+    // Closing the server cancels the running generations. Without free slots
+    // this cannot start the waiting ones.
     m_settings.slots = 0;
     m_server.close();
 }
@@ -90,17 +92,17 @@
                               ++m_counters.finished;
                               remove(item);
                           }});
-    generation* const kept = answer.get();
-    call->on_closed([this, kept] {
-        cancel(*kept);
+    generation* const added = answer.get();
+    call->on_closed([this, added] {
+        cancel(*added);
     });
-    auto const later = std::find_if(
+    auto const less_urgent = std::find_if(
         m_waiting.begin(), m_waiting.end(), [priority](auto const& other) {
             return other->request().priority > priority;
         });
-    m_waiting.insert(later, std::move(answer));
+    m_waiting.insert(less_urgent, std::move(answer));
     start_next();
-    note_load();
+    record_load();
 }
 
 void engine::start_next()
@@ -109,38 +111,38 @@
         m_running.splice(m_running.end(), m_waiting, m_waiting.begin());
         generation& answer = *m_running.back();
         ++m_counters.begun;
-        answer.begin(pace_of(answer.request()));
+        answer.begin(timing_for(answer.request()));
     }
 }
 
-generation::pace engine::pace_of(generation_request const& request)
+generation::timing engine::timing_for(generation_request const& request)
 {
     double const cached = m_cache.use(request.model, request.prompt);
-    double const left = 1.0 - cached * (1.0 - cached_cost);
+    double const uncached_share = 1.0 - cached * (1.0 - cached_prefill_share);
     std::chrono::duration<double, std::micro> const first =
-        m_settings.first_token_delay * m_faults.slow_factor * left;
-    generation::pace pace;
-    pace.first_token =
+        m_settings.first_token_delay * m_faults.slow_factor * uncached_share;
+    generation::timing result;
+    result.first_token =
         std::chrono::duration_cast<std::chrono::microseconds>(first);
     if (m_settings.tokens_per_second > 0.0) {
-        pace.between_tokens = std::chrono::microseconds(
+        result.between_tokens = std::chrono::microseconds(
             static_cast<std::int64_t>(us_per_second * m_faults.slow_factor
                                       / m_settings.tokens_per_second));
     }
-    pace.burst = m_settings.burst_events;
-    return pace;
+    result.burst = m_settings.burst_events;
+    return result;
 }
 
 bool engine::before_token(generation& answer)
 {
     std::uint32_t const computed = answer.computed();
     std::string const& text = m_faults.crash_on_text;
-    bool const is_killer =
+    bool const has_crash_text =
         !text.empty()
         && answer.request().prompt.find(text) != std::string::npos;
-    bool const crashes =
+    bool const reaches_crash_count =
         m_faults.crash_after_tokens && computed >= *m_faults.crash_after_tokens;
-    if (is_killer || crashes) {
+    if (has_crash_text || reaches_crash_count) {
         m_faults.crash_after_tokens.reset();
         crash();
         return false;
@@ -158,18 +160,18 @@
 void engine::remove(generation& answer)
 {
     for (generation_list* const list : {&m_running, &m_waiting}) {
-        auto const place =
+        auto const position =
             std::find_if(list->begin(), list->end(), [&](auto const& item) {
                 return item.get() == &answer;
             });
-        if (place != list->end()) {
-            m_ended.splice(m_ended.end(), *list, place);
+        if (position != list->end()) {
+            m_ended.splice(m_ended.end(), *list, position);
             break;
         }
     }
-    m_reaper.start(std::chrono::microseconds(0));
+    m_cleanup_timer.start(std::chrono::microseconds(0));
     start_next();
-    note_load();
+    record_load();
 }
 
 void engine::cancel(generation& answer)
@@ -183,7 +185,8 @@
 void engine::crash()
 {
     ++m_counters.crashes;
-    m_back = std::chrono::steady_clock::now() + m_settings.restart_delay;
+    m_available_at =
+        std::chrono::steady_clock::now() + m_settings.restart_delay;
     for (generation_list* const list : {&m_running, &m_waiting}) {
         for (auto const& answer : *list) {
             m_counters.wasted_tokens += answer->computed();
@@ -191,9 +194,9 @@
         }
         m_ended.splice(m_ended.end(), *list);
     }
-    m_reaper.start(std::chrono::microseconds(0));
+    m_cleanup_timer.start(std::chrono::microseconds(0));
     m_cache.clear();
-    note_load();
+    record_load();
 }
 
 void engine::stall_running()
@@ -204,7 +207,7 @@
     }
 }
 
-void engine::note_load()
+void engine::record_load()
 {
     double const capacity =
         static_cast<double>(std::max<std::size_t>(m_settings.cache_blocks, 1));
--- a/stand_ins/engine.hpp
+++ b/stand_ins/engine.hpp
@@ -17,16 +17,17 @@
 
 namespace caperjunction::stand_ins {
 
-/// Stands in for a model engine: batches continuously in bounded slots by
-/// priority, streams, resumes, cancels when the client closes, keeps a prefix
-/// cache, reports its load with a lag, takes orders.
+/// Stand-in for a model engine. Runs requests in a bounded number of slots,
+/// ordered by priority; streams and resumes answers; cancels an answer when
+/// its client disconnects; keeps a prefix cache; reports its load with a lag;
+/// executes orders to load and unload models.
 ///
 /// POST /v1/chat/completions, /v1/completions, /v1/orders; GET /v1/load,
 /// /v1/models, /v1/cache_events?after=N. For tests: POST /control sets faults
-/// by their names in engine_faults, and {"crash":true} or {"silence":true}
-/// act at once; GET /control/counters.
+/// by their names in engine_faults; {"crash":true} and {"silence":true} take
+/// effect immediately. GET /control/counters returns the counters.
 ///
-/// Thread safety: none; lives on the event_base's thread.
+/// Thread safety: none; used on the event_base's thread only.
 class engine
 {
 public:
@@ -48,9 +49,11 @@
     }
 
     void set_faults(engine_faults faults);
-    /// Cuts off everything at once and is away for the restart time.
+    /// Closes the connections of all answers and aborts every new request,
+    /// except those to /control, until the restart delay has passed.
     void crash();
-    /// Open streams send nothing more; new requests are served.
+    /// Stops sending on all running answers but leaves their connections
+    /// open. New requests are served.
     void stall_running();
 
     engine_counters const& counters() const
@@ -77,12 +80,12 @@
     void enqueue(std::shared_ptr<exchange> const& call,
                  generation_request request);
     void start_next();
-    generation::pace pace_of(generation_request const& request);
+    generation::timing timing_for(generation_request const& request);
     bool before_token(generation& answer);
     void remove(generation& answer);
     void cancel(generation& answer);
-    void note_load();
-    void take_order(exchange& call);
+    void record_load();
+    void handle_order(exchange& call);
     std::string load_json() const;
     std::string models_json() const;
     std::string counters_json() const;
@@ -96,11 +99,12 @@
     prefix_cache m_cache;
     generation_list m_waiting;
     generation_list m_running;
-    /// Generations that ended inside their own call; freed by the timer.
+    /// Generations that ended within one of their own member functions;
+    /// m_cleanup_timer destroys them.
     generation_list m_ended;
-    timer m_reaper;
-    std::chrono::steady_clock::time_point m_back{};
-    std::uint64_t m_fencing = 0;
+    timer m_cleanup_timer;
+    std::chrono::steady_clock::time_point m_available_at{};
+    std::uint64_t m_highest_fencing = 0;
     http_server m_server;
 };
 
--- a/stand_ins/engine_faults.hpp
+++ b/stand_ins/engine_faults.hpp
@@ -7,18 +7,19 @@
 
 namespace caperjunction::stand_ins {
 
-/// What goes wrong in an engine, as switched by a test.
+/// Faults that a test enables in an engine.
 struct engine_faults
 {
-    /// The engine crashes when any answer has got so many tokens; once.
+    /// The engine crashes once, when any answer reaches this token count.
     std::optional<std::uint32_t> crash_after_tokens;
-    /// Each answer goes silent after so many tokens.
+    /// Each answer stalls after this many tokens; its connection stays open.
     std::optional<std::uint32_t> stall_after_tokens;
-    /// Each request whose prompt holds this crashes the engine.
+    /// A request whose prompt contains this text crashes the engine. Empty:
+    /// disabled.
     std::string crash_on_text;
-    /// New requests get 503 before anything has run.
+    /// New requests get 503 without being executed.
     bool refuse = false;
-    /// Times by which all work takes longer.
+    /// Factor on the time to the first token and between tokens.
     double slow_factor = 1.0;
 
     friend bool operator==(engine_faults const&,
--- a/stand_ins/engine_http.cpp
+++ b/stand_ins/engine_http.cpp
@@ -1,4 +1,4 @@
-// The parts of the engine that only speak HTTP and JSON.
+// The HTTP and JSON interface of the engine stand-in.
 #include "stand_ins/engine.hpp"
 
 #include <nlohmann/json.hpp>
@@ -46,7 +46,7 @@
         handle_control(*call);
         return;
     }
-    if (std::chrono::steady_clock::now() < m_back) {
+    if (std::chrono::steady_clock::now() < m_available_at) {
         call->abort();
         return;
     }
@@ -64,7 +64,7 @@
             m_cache_events.read(std::strtoull(after.c_str(), nullptr, decimal),
                                 std::chrono::steady_clock::now()));
     } else if (path == "/v1/orders") {
-        take_order(*call);
+        handle_order(*call);
     } else {
         call->reply_json(404, R"({"error":{"message":"no such path"}})");
     }
@@ -91,7 +91,7 @@
     call.reply_json(200, "{}");
 }
 
-void engine::take_order(exchange& call)
+void engine::handle_order(exchange& call)
 {
     auto const order = nlohmann::json::parse(call.body(), nullptr, false);
     if (!order.is_object() || !order.contains("fencing")
@@ -100,12 +100,12 @@
         return;
     }
     auto const fencing = order["fencing"].get<std::uint64_t>();
-    if (m_settings.checks_fencing && fencing < m_fencing) {
+    if (m_settings.checks_fencing && fencing < m_highest_fencing) {
         ++m_counters.orders_refused;
         call.reply_json(409, R"({"error":{"message":"old fencing number"}})");
         return;
     }
-    m_fencing = std::max(m_fencing, fencing);
+    m_highest_fencing = std::max(m_highest_fencing, fencing);
     ++m_counters.orders_taken;
     std::string const model = order.value("model", "");
     auto& models = m_settings.models;
--- a/stand_ins/engine_settings.hpp
+++ b/stand_ins/engine_settings.hpp
@@ -11,30 +11,31 @@
 
 namespace caperjunction::stand_ins {
 
-/// How the stand-in of a model engine behaves.
+/// Settings of the engine stand-in.
 struct engine_settings
 {
     model::endpoint listen{"127.0.0.1", 0};
     std::string name = "engine-1";
     std::vector<std::string> models{"drafter"};
-    /// Answers computed side by side; the rest waits by priority.
+    /// Maximum concurrent answers; other requests wait by priority.
     std::uint32_t slots = 8;
-    /// Of each answer; 0: as fast as the client takes them.
+    /// Rate of each answer. 0: as fast as the client reads.
     double tokens_per_second = 50.0;
-    /// Until the first token, with nothing of the prompt in the cache.
+    /// Time to the first token when no part of the prompt is cached.
     std::chrono::milliseconds first_token_delay{50};
-    /// Tokens sent with one write.
+    /// Tokens sent in one write.
     std::uint32_t burst_events = 1;
-    /// Blocks of prompts that the prefix cache keeps.
+    /// Capacity of the prefix cache in prompt blocks.
     std::size_t cache_blocks = 1024;
-    /// Age of the load that it reports.
+    /// Age of the reported load.
     std::chrono::milliseconds report_lag{0};
-    /// Delay until a cache event can be read.
+    /// Delay until a cache event becomes readable.
     std::chrono::milliseconds cache_event_lag{100};
-    /// Each so-many-th cache event is lost; 0: none.
+    /// Every n-th cache event is lost; 0: none.
     std::uint32_t cache_event_gap = 10;
+    /// Whether orders with an outdated fencing number are refused.
     bool checks_fencing = false;
-    /// Time that it is away after a crash.
+    /// Time after a crash during which every request is aborted.
     std::chrono::milliseconds restart_delay{200};
 };
 
--- a/stand_ins/exchange.cpp
+++ b/stand_ins/exchange.cpp
@@ -47,12 +47,12 @@
     evhttp_connection* const connection =
         evhttp_request_get_connection(m_request);
     evhttp_connection_set_closecb(connection, &exchange::closed, this);
-    // evhttp stops reading while a request is handled and would notice a
-    // client that hangs up only at the first write.
+    // evhttp stops reading while a request is handled. Without reading ahead
+    // it detects a disconnected client only on the first write.
     net::begin_read_ahead(evhttp_connection_get_bufferevent(connection));
 }
 
-void exchange::forget_connection()
+void exchange::detach_connection()
 {
     evhttp_connection* const connection =
         evhttp_request_get_connection(m_request);
@@ -66,12 +66,12 @@
 {
     auto* const that = static_cast<exchange*>(self);
     evhttp_request* const request = std::exchange(that->m_request, nullptr);
-    // evhttp leaves a request that it has cut loose to its handler; one that
-    // still belongs to the connection goes with it.
+    // evhttp leaves a request that it has detached from the connection to
+    // its handler to free, and frees an attached one with the connection.
     if (evhttp_request_get_connection(request) == nullptr) {
         evhttp_request_free(request);
     }
-    closed_hook const hook = std::move(that->m_closed);
+    closed_hook const hook = std::move(that->m_closed_hook);
     if (hook) {
         hook();
     }
@@ -137,7 +137,7 @@
 
 void exchange::on_closed(closed_hook hook)
 {
-    m_closed = std::move(hook);
+    m_closed_hook = std::move(hook);
 }
 
 std::size_t exchange::backlog() const
@@ -154,8 +154,8 @@
 void exchange::add_header(char const* name, std::string const& value)
 {
     if (m_request != nullptr) {
-        evkeyvalq* const to = evhttp_request_get_output_headers(m_request);
-        evhttp_add_header(to, name, value.c_str());
+        evkeyvalq* const headers = evhttp_request_get_output_headers(m_request);
+        evhttp_add_header(headers, name, value.c_str());
     }
 }
 
@@ -165,7 +165,7 @@
         return;
     }
     add_header("Content-Type", std::string(type));
-    forget_connection();
+    detach_connection();
     auto const content = make_buffer(body);
     evhttp_request* const request = std::exchange(m_request, nullptr);
     evhttp_send_reply(request, status, nullptr, content.get());
@@ -197,7 +197,7 @@
 void exchange::finish()
 {
     if (m_request != nullptr) {
-        forget_connection();
+        detach_connection();
         evhttp_send_reply_end(std::exchange(m_request, nullptr));
     }
 }
@@ -207,7 +207,7 @@
     if (m_request == nullptr) {
         return;
     }
-    forget_connection();
+    detach_connection();
     evhttp_request* const request = std::exchange(m_request, nullptr);
     evhttp_connection_free(evhttp_request_get_connection(request));
 }
--- a/stand_ins/exchange.hpp
+++ b/stand_ins/exchange.hpp
@@ -9,34 +9,36 @@
 
 namespace caperjunction::stand_ins {
 
-/// One request on a stand-in and the reply to it.
+/// One HTTP request to a stand-in and its reply.
 ///
-/// Outlives neither its event_base nor, once closed, the client's connection.
+/// Must not outlive its event_base. Once the client has disconnected, the
+/// exchange no longer refers to the connection.
 /// Thread safety: none; used on the event_base's thread only.
 class exchange
 {
 public:
-    /// Called when the client goes away before the reply is complete.
+    /// Called when the client disconnects before the reply is complete.
     using closed_hook = std::function<void()>;
 
-    /// \pre request has been handed to an evhttp callback just now.
+    /// \pre evhttp has just passed `request` to its request callback.
     explicit exchange(evhttp_request* request);
     exchange(exchange const&) = delete;
     exchange& operator=(exchange const&) = delete;
-    /// An exchange without a reply is answered with 503.
+    /// Replies 503 if no reply was started; aborts an incomplete one.
     ~exchange();
 
-    /// "GET", "POST", "PUT", ... ; "OTHER" for the rare ones.
+    /// Returns "GET", "POST", "PUT", "DELETE", "HEAD" or "PATCH"; "OTHER" for
+    /// all other methods.
     std::string method() const;
-    /// The path without query.
+    /// Returns the path without the query.
     std::string path() const;
-    /// A parameter of the query; empty if it is not there.
+    /// Returns a query parameter, empty if it is missing.
     std::string query(char const* name) const;
-    /// Empty if it is not there.
+    /// Returns a request header, empty if it is missing.
     std::string header(char const* name) const;
     std::string body() const;
 
-    /// \pre not answered yet.
+    /// \pre No reply has been sent.
     void on_closed(closed_hook hook);
 
     bool is_open() const
@@ -44,28 +46,28 @@
         return m_request != nullptr;
     }
 
-    /// Bytes that the client has not taken yet.
+    /// Returns the number of reply bytes not yet written to the socket.
     std::size_t backlog() const;
 
     void add_header(char const* name, std::string const& value);
-    /// Sends the whole reply. Nothing happens once closed.
+    /// Sends a complete reply. Has no effect once closed.
     void reply(int status, std::string_view type, std::string_view body);
     void reply_json(int status, std::string_view body);
-    /// Starts a chunked reply; `send` adds to it, `finish` ends it.
+    /// Starts a chunked reply; `send` appends to it, `finish` ends it.
     void start(std::string_view type);
     void send(std::string_view text);
     void finish();
-    /// Closes the connection in the middle, as a crash does.
+    /// Closes the connection without completing the reply, as a crash does.
     void abort();
 
 private:
     static void closed(evhttp_connection* connection, void* self);
 
     void watch_connection();
-    void forget_connection();
+    void detach_connection();
 
     evhttp_request* m_request = nullptr;
-    closed_hook m_closed;
+    closed_hook m_closed_hook;
     bool m_started = false;
 };
 
--- a/stand_ins/generation.cpp
+++ b/stand_ins/generation.cpp
@@ -11,30 +11,31 @@
 namespace caperjunction::stand_ins {
 namespace {
 
-// A client that reads more slowly than tokens come must not fill the memory.
+// Output buffered for a client that reads more slowly than tokens are
+// computed. Without this limit it fills the memory.
 constexpr std::size_t max_backlog_bytes = std::size_t{256} * 1024;
-constexpr std::chrono::milliseconds backlog_pause{1};
+constexpr std::chrono::milliseconds backlog_poll_interval{1};
 
 } // namespace
 
 generation::generation(event_base* base,
                        std::shared_ptr<exchange> call,
                        generation_request request,
-                       hooks on)
+                       hooks callbacks)
     : m_call(std::move(call))
     , m_request(std::move(request))
-    , m_hooks(std::move(on))
+    , m_hooks(std::move(callbacks))
     , m_timer(base,
               [this] {
-                  step();
+                  compute_next();
               })
     , m_tag(prompt_tag(m_request.prompt))
     , m_next(m_request.resume_offset)
 {
-    make_template();
+    build_event_template();
 }
 
-void generation::make_template()
+void generation::build_event_template()
 {
     std::string const model = nlohmann::json(m_request.model).dump();
     std::string const id = nlohmann::json("gen-" + m_request.id).dump();
@@ -52,12 +53,12 @@
     m_event_tail += "\n\n";
 }
 
-void generation::begin(pace const& speed)
+void generation::begin(timing const& token_timing)
 {
     m_begun = true;
-    m_pace = speed;
-    m_due = std::chrono::steady_clock::now() + speed.first_token;
-    m_timer.start(speed.first_token);
+    m_timing = token_timing;
+    m_due = std::chrono::steady_clock::now() + token_timing.first_token;
+    m_timer.start(token_timing.first_token);
     if (m_request.is_stream) {
         m_call->add_header("Cache-Control", "no-cache");
         m_call->start("text/event-stream");
@@ -77,13 +78,13 @@
     m_call->abort();
 }
 
-void generation::step()
+void generation::compute_next()
 {
     if (m_request.is_stream && m_call->backlog() > max_backlog_bytes) {
-        m_timer.start(backlog_pause);
+        m_timer.start(backlog_poll_interval);
         return;
     }
-    for (std::uint32_t sent = 0; sent < std::max(m_pace.burst, 1U); ++sent) {
+    for (std::uint32_t sent = 0; sent < std::max(m_timing.burst, 1U); ++sent) {
         if (m_next >= m_request.max_tokens) {
             finish();
             return;
@@ -95,7 +96,7 @@
     }
     m_call->send(m_pending);
     m_pending.clear();
-    wait_for_next();
+    schedule_next();
 }
 
 void generation::send_token()
@@ -108,15 +109,15 @@
     ++m_next;
 }
 
-void generation::wait_for_next()
+void generation::schedule_next()
 {
     if (m_next >= m_request.max_tokens) {
         m_timer.start(std::chrono::microseconds(0));
         return;
     }
-    // From the due time, not from now: timers that come late must not slow
-    // the stream down.
-    m_due += m_pace.between_tokens * std::max(m_pace.burst, 1U);
+    // Computed from the previous due time rather than from now. Otherwise
+    // each late timer slows the stream down.
+    m_due += m_timing.between_tokens * std::max(m_timing.burst, 1U);
     auto const wait = std::chrono::duration_cast<std::chrono::microseconds>(
         m_due - std::chrono::steady_clock::now());
     m_timer.start(std::max(wait, std::chrono::microseconds(0)));
@@ -133,7 +134,7 @@
         prompt + m_next);
 }
 
-std::string generation::whole_answer() const
+std::string generation::complete_answer() const
 {
     std::string text;
     for (std::uint32_t index = m_request.resume_offset; index < m_next;
@@ -159,20 +160,20 @@
 void generation::finish()
 {
     if (m_request.is_stream) {
-        std::string last =
+        std::string final_events =
             m_event_head.substr(0, m_event_head.rfind("\"index\""));
-        last +=
+        final_events +=
             m_request.is_chat
                 ? R"("index":0,"delta":{},"finish_reason":"stop"}],"usage":)"
                 : R"("index":0,"text":"","finish_reason":"stop"}],"usage":)";
-        last += usage() + "}\n\ndata: [DONE]\n\n";
-        m_call->send(m_pending + last);
+        final_events += usage() + "}\n\ndata: [DONE]\n\n";
+        m_call->send(m_pending + final_events);
         m_pending.clear();
         m_call->finish();
     } else {
-        m_call->reply_json(200, whole_answer());
+        m_call->reply_json(200, complete_answer());
     }
-    // A copy, since the hook may destroy this generation.
+    // Copied because the hook may destroy this generation.
     auto const finished = m_hooks.finished;
     finished(*this);
 }
--- a/stand_ins/generation.hpp
+++ b/stand_ins/generation.hpp
@@ -12,42 +12,42 @@
 
 namespace caperjunction::stand_ins {
 
-/// One answer while it is computed and sent, token by token.
+/// An answer that is computed and sent token by token.
 ///
-/// Thread safety: none; lives on the event_base's thread.
+/// Thread safety: none; used on the event_base's thread only.
 class generation
 {
 public:
-    /// How fast tokens come.
-    struct pace
+    struct timing
     {
         std::chrono::microseconds first_token{0};
-        /// Zero: as fast as the client takes them.
+        /// Zero: as fast as the client reads.
         std::chrono::microseconds between_tokens{0};
-        /// Tokens sent with one write.
+        /// Tokens sent in one write.
         std::uint32_t burst = 1;
     };
 
     struct hooks
     {
-        /// Before a token is sent; false if the generation must stop here,
-        /// in which case it may be gone already.
+        /// Called before each token. Returns false if the generation must
+        /// stop; the hook may then have ended or destroyed it.
         std::function<bool(generation&)> before_token;
-        /// The answer is complete; the generation may be destroyed in it.
+        /// Called when the answer is complete. The hook may destroy the
+        /// generation.
         std::function<void(generation&)> finished;
     };
 
-    /// \pre call is open; base outlives the generation.
+    /// \pre `call` is open; `base` outlives the generation.
     generation(event_base* base,
                std::shared_ptr<exchange> call,
                generation_request request,
-               hooks on);
+               hooks callbacks);
 
-    /// Begins to compute. \pre not begun yet.
-    void begin(pace const& speed);
-    /// Sends nothing more, but leaves the connection open.
+    /// Starts the computation. \pre It has not begun.
+    void begin(timing const& token_timing);
+    /// Stops sending but leaves the connection open.
     void stall();
-    /// Closes the connection in the middle.
+    /// Closes the connection without completing the answer.
     void abort();
 
     generation_request const& request() const
@@ -60,7 +60,8 @@
         return *m_call;
     }
 
-    /// Tokens computed by this engine for this answer.
+    /// Returns the number of tokens that this engine has computed, without
+    /// those of earlier attempts.
     std::uint32_t computed() const
     {
         return m_next - m_request.resume_offset;
@@ -72,21 +73,21 @@
     }
 
 private:
-    void step();
+    void compute_next();
     void send_token();
     void finish();
-    void wait_for_next();
-    void make_template();
+    void schedule_next();
+    void build_event_template();
     std::string usage() const;
-    std::string whole_answer() const;
+    std::string complete_answer() const;
 
     std::shared_ptr<exchange> m_call;
     generation_request m_request;
     hooks m_hooks;
-    pace m_pace;
+    timing m_timing;
     timer m_timer;
     std::string m_tag;
-    /// The parts of an event before and after its token.
+    /// The parts of a stream event before and after the token text.
     std::string m_event_head;
     std::string m_event_tail;
     std::string m_pending;
--- a/stand_ins/generation_request.cpp
+++ b/stand_ins/generation_request.cpp
@@ -24,13 +24,13 @@
     return text;
 }
 
-std::uint32_t read_count(nlohmann::json const& body,
-                         char const* field,
-                         std::uint32_t otherwise)
+std::uint32_t read_unsigned(nlohmann::json const& body,
+                            char const* field,
+                            std::uint32_t default_value)
 {
     auto const found = body.find(field);
-    bool const given = found != body.end() && found->is_number_unsigned();
-    return given ? found->get<std::uint32_t>() : otherwise;
+    bool const is_present = found != body.end() && found->is_number_unsigned();
+    return is_present ? found->get<std::uint32_t>() : default_value;
 }
 
 std::uint32_t header_number(exchange const& call, char const* name)
@@ -62,9 +62,9 @@
     auto const stream = body.find("stream");
     request.is_stream =
         stream != body.end() && stream->is_boolean() && stream->get<bool>();
-    request.max_tokens = read_count(body, "max_tokens", request.max_tokens);
+    request.max_tokens = read_unsigned(body, "max_tokens", request.max_tokens);
     request.max_tokens =
-        read_count(body, "max_completion_tokens", request.max_tokens);
+        read_unsigned(body, "max_completion_tokens", request.max_tokens);
     request.id = call.header("caperjunction-request-id");
     request.priority = header_number(call, "caperjunction-priority");
     request.resume_offset = header_number(call, "caperjunction-resume-offset");
--- a/stand_ins/generation_request.hpp
+++ b/stand_ins/generation_request.hpp
@@ -9,25 +9,26 @@
 
 namespace caperjunction::stand_ins {
 
-/// What a client asks of an engine.
+/// A completion request to an engine.
 struct generation_request
 {
-    /// The router's name for it; empty if it gave none.
+    /// Request id set by the router; empty if there is none.
     std::string id;
     std::string model;
-    /// All texts of the request, one after the other.
+    /// Concatenated texts of the request.
     std::string prompt;
     std::uint32_t max_tokens = 16;
-    /// Tokens that an earlier attempt has delivered; the next one is this.
+    /// Number of tokens delivered by earlier attempts, which is also the
+    /// index of the first token to send.
     std::uint32_t resume_offset = 0;
-    /// Lower goes first.
+    /// Lower values are served first.
     std::uint32_t priority = 0;
     bool is_stream = false;
     bool is_chat = false;
 };
 
-/// Nothing if the body is not a request of the OpenAI-compatible protocol.
-/// \pre call is open. Thread safety: no shared state.
+/// Returns nothing if the body is not a request of the OpenAI-compatible
+/// protocol. \pre `call` is open. Thread safety: no shared state.
 std::optional<generation_request> parse_generation(exchange const& call);
 
 } // namespace caperjunction::stand_ins
--- a/stand_ins/http_server.cpp
+++ b/stand_ins/http_server.cpp
@@ -11,8 +11,8 @@
 namespace caperjunction::stand_ins {
 namespace {
 
-// A watch or a stalled stream is silent for as long as a test wants it.
-constexpr std::chrono::seconds silence_allowed{3600};
+// Long enough that no watch or stalled stream of a test is closed as idle.
+constexpr std::chrono::seconds idle_timeout{3600};
 
 std::uint16_t port_of(evutil_socket_t socket)
 {
@@ -29,16 +29,16 @@
 
 http_server::http_server(event_base* base,
                          model::endpoint const& listen,
-                         handler each)
+                         handler on_request)
     : m_http(evhttp_new(base), &evhttp_free)
     , m_address(listen)
-    , m_handler(std::move(each))
+    , m_handler(std::move(on_request))
 {
     evhttp_set_allowed_methods(m_http.get(),
                                EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_PUT
                                    | EVHTTP_REQ_DELETE | EVHTTP_REQ_HEAD
                                    | EVHTTP_REQ_PATCH);
-    evhttp_set_timeout(m_http.get(), static_cast<int>(silence_allowed.count()));
+    evhttp_set_timeout(m_http.get(), static_cast<int>(idle_timeout.count()));
     evhttp_set_gencb(m_http.get(), &http_server::handle, this);
     evhttp_bound_socket* const bound = evhttp_bind_socket_with_handle(
         m_http.get(), listen.address.c_str(), listen.port);
@@ -46,7 +46,7 @@
         throw model::error(model::error_kind::bad_settings,
                            "cannot listen on " + listen.address + ':'
                                + std::to_string(listen.port),
-                           "name a free port of this machine");
+                           "specify a free port on a local address");
     }
     m_address.port = port_of(evhttp_bound_socket_get_fd(bound));
 }
--- a/stand_ins/http_server.hpp
+++ b/stand_ins/http_server.hpp
@@ -11,26 +11,28 @@
 
 namespace caperjunction::stand_ins {
 
-/// Listens on one address and hands each request to a handler.
+/// Listens on one address and passes each request to a handler.
 ///
-/// Thread safety: none; everything happens on the event_base's thread.
+/// Thread safety: none; used on the event_base's thread only.
 class http_server
 {
 public:
     using handler = std::function<void(std::shared_ptr<exchange>)>;
 
-    /// Port 0 lets the kernel choose.
+    /// Port 0 selects a free port.
     /// \pre base outlives the server.
-    /// \throws model::error if the address is taken or not of this machine.
-    http_server(event_base* base, model::endpoint const& listen, handler each);
+    /// \throws model::error if the address is in use or not local.
+    http_server(event_base* base,
+                model::endpoint const& listen,
+                handler on_request);
 
-    /// The address it listens on, with the port that the kernel chose.
+    /// Returns the listening address with the actual port.
     model::endpoint const& address() const
     {
         return m_address;
     }
 
-    /// Stops taking connections and closes those that are open.
+    /// Stops listening and closes all connections.
     void close();
 
 private:
--- a/stand_ins/load_history.hpp
+++ b/stand_ins/load_history.hpp
@@ -7,7 +7,7 @@
 
 namespace caperjunction::stand_ins {
 
-/// The load of an engine as it was some time ago.
+/// History of an engine's load, which is reported with a lag.
 ///
 /// Thread safety: none.
 class load_history
@@ -19,7 +19,7 @@
     {
         std::uint32_t running = 0;
         std::uint32_t waiting = 0;
-        /// Share of the cache memory in use, 0..1.
+        /// Fraction of the cache memory in use, 0..1.
         double kv_used = 0.0;
         time_point at{};
     };
@@ -29,7 +29,8 @@
     {
     }
 
-    /// Notes a change. \pre change.at does not go back.
+    /// Records a change of the load. \pre change.at is not before that of
+    /// earlier changes.
     void record(load const& change)
     {
         m_loads.push_back(change);
@@ -38,16 +39,17 @@
         }
     }
 
-    /// The newest load that is at least the lag old; empty at first.
+    /// Returns the newest load that is at least `lag()` old, or a zero load
+    /// if there is none.
     load read(time_point now) const
     {
-        load seen;
+        load newest;
         for (load const& item : m_loads) {
             if (item.at + m_lag <= now) {
-                seen = item;
+                newest = item;
             }
         }
-        return seen;
+        return newest;
     }
 
     std::chrono::milliseconds lag() const
--- a/stand_ins/main.cpp
+++ b/stand_ins/main.cpp
@@ -16,27 +16,30 @@
 #include <memory>
 #include <sstream>
 
-ABSL_FLAG(std::string, listen, "127.0.0.1:0", "address:port; 0: any port");
-ABSL_FLAG(std::string, name, "stand-in-1", "name in reports and answers");
-ABSL_FLAG(std::string, plans, "", "platform: file of the plans");
-ABSL_FLAG(std::string, entitlements, "", "platform: file of the entitlements");
-ABSL_FLAG(std::string, hosts, "", "platform: file of the hosts");
-ABSL_FLAG(std::string, upstreams, "", "platform: file of the upstreams");
-ABSL_FLAG(std::uint32_t, calls_per_second, 2000, "platform: rate of calls");
+ABSL_FLAG(std::string,
+          listen,
+          "127.0.0.1:0",
+          "address:port; port 0: any free port");
+ABSL_FLAG(std::string, name, "stand-in-1", "name in load reports and answers");
+ABSL_FLAG(std::string, plans, "", "platform: path of the plans");
+ABSL_FLAG(std::string, entitlements, "", "platform: path of the entitlements");
+ABSL_FLAG(std::string, hosts, "", "platform: path of the hosts");
+ABSL_FLAG(std::string, upstreams, "", "platform: path of the upstreams");
+ABSL_FLAG(std::uint32_t, calls_per_second, 2000, "platform: call limit");
 ABSL_FLAG(std::uint64_t,
           weights_bytes_per_second,
           caperjunction::stand_ins::default_weights_rate,
-          "platform: rate of the weights store");
+          "platform: bandwidth of the weights store");
 ABSL_FLAG(std::vector<std::string>, models, {"drafter"}, "engine: models");
-ABSL_FLAG(std::uint32_t, slots, 8, "engine: answers side by side");
-ABSL_FLAG(double, tokens_per_second, 50, "engine: of each answer; 0: no limit");
+ABSL_FLAG(std::uint32_t, slots, 8, "engine: concurrent answers");
+ABSL_FLAG(double, tokens_per_second, 50, "engine: per answer; 0: no limit");
 ABSL_FLAG(std::uint32_t, first_token_ms, 50, "engine: time to first token");
-ABSL_FLAG(std::uint32_t, burst_events, 1, "engine: tokens in one write");
-ABSL_FLAG(std::uint32_t, cache_blocks, 1024, "engine: size of prefix cache");
+ABSL_FLAG(std::uint32_t, burst_events, 1, "engine: tokens per write");
+ABSL_FLAG(std::uint32_t, cache_blocks, 1024, "engine: prefix cache size");
 ABSL_FLAG(std::uint32_t, report_lag_ms, 0, "engine: age of reported load");
-ABSL_FLAG(std::uint32_t, restart_ms, 200, "engine: time away after a crash");
-ABSL_FLAG(bool, checks_fencing, false, "engine: refuses old fencing numbers");
-ABSL_FLAG(std::uint32_t, delay_ms, 0, "service: time until it executes");
+ABSL_FLAG(std::uint32_t, restart_ms, 200, "engine: restart time");
+ABSL_FLAG(bool, checks_fencing, false, "engine: refuse old fencing numbers");
+ABSL_FLAG(std::uint32_t, delay_ms, 0, "service: execution delay");
 
 namespace caperjunction::stand_ins {
 namespace {
@@ -58,12 +61,12 @@
 {
     auto const colon = text.rfind(':');
     std::uint32_t port = 0;
-    bool const ok = colon != std::string::npos
-                    && absl::SimpleAtoi(text.substr(colon + 1), &port)
-                    && port <= UINT16_MAX;
-    if (!ok) {
+    bool const is_valid = colon != std::string::npos
+                          && absl::SimpleAtoi(text.substr(colon + 1), &port)
+                          && port <= UINT16_MAX;
+    if (!is_valid) {
         throw bad_setting("--listen=" + text + " is not ADDRESS:PORT",
-                          "write e.g. --listen=127.0.0.1:0");
+                          "use for example --listen=127.0.0.1:0");
     }
     return {text.substr(0, colon), static_cast<std::uint16_t>(port)};
 }
@@ -74,7 +77,7 @@
     std::stringstream text;
     text << file.rdbuf();
     if (!file) {
-        throw bad_setting("cannot read " + path, "name a readable file");
+        throw bad_setting("cannot read " + path, "specify a readable file");
     }
     return text.str();
 }
@@ -127,7 +130,7 @@
     return settings;
 }
 
-/// Tells the address, then serves until SIGTERM or SIGINT.
+/// Prints the listening address, then serves until SIGTERM or SIGINT.
 void serve(event_base* base, model::endpoint const& address)
 {
     std::signal(SIGPIPE, SIG_IGN);
@@ -159,8 +162,8 @@
         service stand_in(base.get(), make_service_settings());
         serve(base.get(), stand_in.address());
     } else {
-        throw bad_setting("'" + kind + "' is not a stand-in",
-                          "name engine, service or platform");
+        throw bad_setting("'" + kind + "' is not a kind of stand-in",
+                          "specify engine, service or platform");
     }
     return 0;
 }
--- a/stand_ins/platform.cpp
+++ b/stand_ins/platform.cpp
@@ -21,11 +21,11 @@
     return text.compare(0, prefix.size(), prefix) == 0;
 }
 
-std::uint64_t to_number(std::string const& text, std::uint64_t most)
+std::uint64_t to_number(std::string const& text, std::uint64_t max_value)
 {
     constexpr int decimal = 10;
     std::uint64_t const number = std::strtoull(text.c_str(), nullptr, decimal);
-    return std::min(number, most);
+    return std::min(number, max_value);
 }
 
 std::string to_document(std::uint64_t revision, std::string const& json)
@@ -34,7 +34,7 @@
            + '}';
 }
 
-/// The switch in the body of a control call; on if there is no body.
+/// Returns the `on` field of the request body, true if it is missing.
 bool is_on(exchange const& call)
 {
     auto const body = nlohmann::json::parse(call.body(), nullptr, false);
@@ -92,16 +92,16 @@
     return m_stale ? m_stale_values : m_values;
 }
 
-bool platform::admit()
+bool platform::try_admit()
 {
     auto const now = std::chrono::steady_clock::now();
-    if (now - m_second >= std::chrono::seconds(1)) {
-        m_second = now;
-        m_calls_this_second = 0;
+    if (now - m_rate_window_start >= std::chrono::seconds(1)) {
+        m_rate_window_start = now;
+        m_calls_in_window = 0;
     }
     ++m_calls;
-    ++m_calls_this_second;
-    bool const admitted = m_calls_this_second <= m_settings.calls_per_second;
+    ++m_calls_in_window;
+    bool const admitted = m_calls_in_window <= m_settings.calls_per_second;
     m_refused += admitted ? 0 : 1;
     return admitted;
 }
@@ -110,10 +110,10 @@
 {
     std::string const path = call->path();
     if (has_prefix(path, control_path)) {
-        control(*call);
+        handle_control(*call);
         return;
     }
-    if (!admit()) {
+    if (!try_admit()) {
         call->add_header("Retry-After", "1");
         call->reply_json(429, R"({"error":"too many calls this second"})");
         return;
@@ -192,8 +192,8 @@
     std::chrono::duration<double> const transfer(
         static_cast<double>(bytes)
         / static_cast<double>(m_settings.weights_bytes_per_second));
-    m_store_free =
-        std::max(m_store_free, now)
+    m_store_available_at =
+        std::max(m_store_available_at, now)
         + std::chrono::duration_cast<std::chrono::microseconds>(transfer);
     auto const place = m_downloads.emplace(m_downloads.end());
     *place = std::make_unique<timer>(m_base, [this, place, call, bytes] {
@@ -201,10 +201,10 @@
         m_downloads.erase(place);
     });
     (*place)->start(std::chrono::duration_cast<std::chrono::microseconds>(
-        m_store_free - now));
+        m_store_available_at - now));
 }
 
-void platform::control(exchange& call)
+void platform::handle_control(exchange& call)
 {
     std::string const path = call.path();
     if (has_prefix(path, control_values_path) && call.method() == "PUT") {
--- a/stand_ins/platform.hpp
+++ b/stand_ins/platform.hpp
@@ -14,15 +14,14 @@
 
 namespace caperjunction::stand_ins {
 
-/// Stands in for what the platform gives: published values that can be read
-/// and watched, within a rate, and a rate-limited store of weights.
+/// Stand-in for the platform: published values that clients can read and
+/// watch under a rate limit, and a bandwidth-limited store of model weights.
 ///
-/// Read by the system: GET /v1/values/NAME[?after=REVISION&wait_ms=N],
-/// GET /v1/weights/MODEL?bytes=N. Done by tests in the platform's name:
-/// PUT /control/values/NAME, POST /control/down and /control/stale
-/// ({"on": true}), GET /control/counters.
+/// For the router: GET /v1/values/NAME[?after=REVISION&wait_ms=N],
+/// GET /v1/weights/MODEL?bytes=N. For tests: PUT /control/values/NAME, POST
+/// /control/down and /control/stale ({"on": true}), GET /control/counters.
 ///
-/// Thread safety: none; lives on the event_base's thread.
+/// Thread safety: none; used on the event_base's thread only.
 class platform
 {
 public:
@@ -43,14 +42,17 @@
         return address().port;
     }
 
-    /// Publishes a value under the next revision and answers its watches.
+    /// Publishes a value under the next revision and replies to its watches.
     void publish(std::string const& name, std::string const& json);
-    /// While down, every call of the system gets 503.
+    /// While down, every call that the rate limit admits gets 503, except
+    /// those to /control.
     void set_down(bool down);
-    /// While stale, readers see each value as it was when this began.
+    /// While stale, reads return the values as they were when this mode
+    /// began.
     void set_stale(bool stale);
 
-    /// Calls of the system since the start, refused ones among them.
+    /// Returns the number of calls so far, including refused ones and
+    /// excluding those to /control.
     std::uint64_t calls() const
     {
         return m_calls;
@@ -84,8 +86,8 @@
                    std::chrono::milliseconds wait);
     void answer_watches();
     void read_weights(std::shared_ptr<exchange> const& call);
-    void control(exchange& call);
-    bool admit();
+    void handle_control(exchange& call);
+    bool try_admit();
     std::map<std::string, value> const& visible() const;
 
     event_base* m_base;
@@ -94,9 +96,9 @@
     std::map<std::string, value> m_stale_values;
     std::list<watch> m_watches;
     std::list<std::unique_ptr<timer>> m_downloads;
-    std::chrono::steady_clock::time_point m_second{};
-    std::chrono::steady_clock::time_point m_store_free{};
-    std::uint32_t m_calls_this_second = 0;
+    std::chrono::steady_clock::time_point m_rate_window_start{};
+    std::chrono::steady_clock::time_point m_store_available_at{};
+    std::uint32_t m_calls_in_window = 0;
     std::uint64_t m_calls = 0;
     std::uint64_t m_refused = 0;
     bool m_down = false;
--- a/stand_ins/platform_settings.hpp
+++ b/stand_ins/platform_settings.hpp
@@ -9,20 +9,20 @@
 
 namespace caperjunction::stand_ins {
 
-/// Bytes a second.
+/// Bytes per second.
 inline constexpr std::uint64_t default_weights_rate =
     std::uint64_t{64} * 1024 * 1024;
 
-/// How the stand-in of the platform behaves.
+/// Settings of the platform stand-in.
 struct platform_settings
 {
     model::endpoint listen{"127.0.0.1", 0};
     /// JSON texts by name: plans, entitlements, hosts, upstreams.
     std::map<std::string, std::string> values;
-    /// Calls that it answers in one second; more get 429. A waiting watch
-    /// counts as one.
+    /// Maximum calls in one second; further calls get 429. A watch counts as
+    /// one call, however long it waits.
     std::uint32_t calls_per_second = 2000;
-    /// Rate of the weights store, for all its readers together.
+    /// Bandwidth of the weights store, shared by all downloads.
     std::uint64_t weights_bytes_per_second = default_weights_rate;
 };
 
--- a/stand_ins/prefix_cache.cpp
+++ b/stand_ins/prefix_cache.cpp
@@ -11,31 +11,31 @@
 
 } // namespace
 
-prefix_cache::prefix_cache(std::size_t capacity, change_hook changed)
+prefix_cache::prefix_cache(std::size_t capacity, change_hook on_change)
     : m_capacity(capacity)
-    , m_changed(std::move(changed))
+    , m_on_change(std::move(on_change))
 {
 }
 
-std::vector<std::uint64_t> prefix_cache::blocks(std::string_view model,
-                                                std::string_view prompt)
+std::vector<std::uint64_t> prefix_cache::block_hashes(std::string_view model,
+                                                      std::string_view prompt)
 {
     std::vector<std::uint64_t> hashes;
-    std::uint64_t chain = XXH3_64bits(model.data(), model.size());
+    std::uint64_t chain_hash = XXH3_64bits(model.data(), model.size());
     for (std::size_t begin = 0; begin + block_characters <= prompt.size();
          begin += block_characters) {
-        chain = XXH3_64bits_withSeed(
-            prompt.data() + begin, block_characters, chain);
-        hashes.push_back(chain);
+        chain_hash = XXH3_64bits_withSeed(
+            prompt.data() + begin, block_characters, chain_hash);
+        hashes.push_back(chain_hash);
     }
     return hashes;
 }
 
 double prefix_cache::use(std::string_view model, std::string_view prompt)
 {
-    auto const hashes = blocks(model, prompt);
+    auto const hashes = block_hashes(model, prompt);
     std::size_t found = 0;
-    while (found < hashes.size() && m_places.count(hashes[found]) != 0) {
+    while (found < hashes.size() && m_positions.count(hashes[found]) != 0) {
         ++found;
     }
     for (std::uint64_t const block : hashes) {
@@ -48,28 +48,28 @@
 
 void prefix_cache::store(std::uint64_t block)
 {
-    auto const known = m_places.find(block);
-    if (known != m_places.end()) {
-        m_order.splice(m_order.begin(), m_order, known->second);
+    auto const existing = m_positions.find(block);
+    if (existing != m_positions.end()) {
+        m_order.splice(m_order.begin(), m_order, existing->second);
         return;
     }
     if (m_capacity == 0) {
         return;
     }
-    if (m_places.size() >= m_capacity) {
-        m_changed(m_order.back(), false);
-        m_places.erase(m_order.back());
+    if (m_positions.size() >= m_capacity) {
+        m_on_change(m_order.back(), false);
+        m_positions.erase(m_order.back());
         m_order.pop_back();
     }
     m_order.push_front(block);
-    m_places.emplace(block, m_order.begin());
-    m_changed(block, true);
+    m_positions.emplace(block, m_order.begin());
+    m_on_change(block, true);
 }
 
 void prefix_cache::clear()
 {
     m_order.clear();
-    m_places.clear();
+    m_positions.clear();
 }
 
 } // namespace caperjunction::stand_ins
--- a/stand_ins/process_fleet.cpp
+++ b/stand_ins/process_fleet.cpp
@@ -32,11 +32,11 @@
     , m_client(loop, caller_timeouts())
 {
     std::vector<site_member> listed;
-    for (std::size_t place = 0; place < m_options.engines; ++place) {
-        engine_settings own = m_options.engine;
-        own.name = fmt::format("engine-{}", place);
-        engines.push_back(std::make_unique<engine>(loop.base(), own));
-        listed.push_back({own.name, engines.back()->address(), {}});
+    for (std::size_t index = 0; index < m_options.engines; ++index) {
+        engine_settings settings = m_options.engine;
+        settings.name = fmt::format("engine-{}", index);
+        engines.push_back(std::make_unique<engine>(loop.base(), settings));
+        listed.push_back({settings.name, engines.back()->address(), {}});
     }
     service =
         std::make_unique<stand_ins::service>(loop.base(), m_options.service);
@@ -48,10 +48,10 @@
         {"upstreams",
          site_upstreams(listed, {{"ledger-1", service->address(), {}}})}};
     platform = std::make_unique<stand_ins::platform>(loop.base(), published);
-    for (std::size_t place = 0; place < m_hosts.size(); ++place) {
-        m_hosts[place].name = fmt::format("host-{}", place);
+    for (std::size_t index = 0; index < m_hosts.size(); ++index) {
+        m_hosts[index].name = fmt::format("host-{}", index);
         m_options.flags.push_back("--first_fleet");
-        start_host(place);
+        start_host(index);
         m_options.flags.pop_back();
     }
     publish_hosts();
@@ -59,12 +59,12 @@
 
 process_fleet::~process_fleet() = default;
 
-void process_fleet::start_host(std::size_t place)
+void process_fleet::start_host(std::size_t index)
 {
-    host_process& own = m_hosts[place];
-    std::vector<std::string> words{
+    host_process& entry = m_hosts[index];
+    std::vector<std::string> arguments{
         "serve",
-        "--host_name=" + own.name,
+        "--host_name=" + entry.name,
         "--region=west",
         "--data_centre=west-a",
         "--listen=127.0.0.1:0",
@@ -72,13 +72,15 @@
         "--peer_listen=127.0.0.1:0",
         fmt::format("--platform=127.0.0.1:{}", platform->port()),
         fmt::format("--peer_secret={}", secret)};
-    words.insert(words.end(), m_options.flags.begin(), m_options.flags.end());
-    bool const replaced = own.process != nullptr;
-    own.process = std::make_unique<child_process>(m_options.program, words);
-    own.callers = {"127.0.0.1", own.process->port("callers_port")};
-    own.admin = {"127.0.0.1", own.process->port("admin_port")};
-    own.peers = {"127.0.0.1", own.process->port("peer_port")};
-    if (replaced) {
+    arguments.insert(
+        arguments.end(), m_options.flags.begin(), m_options.flags.end());
+    bool const is_replacement = entry.process != nullptr;
+    entry.process =
+        std::make_unique<child_process>(m_options.program, arguments);
+    entry.callers = {"127.0.0.1", entry.process->port("callers_port")};
+    entry.admin = {"127.0.0.1", entry.process->port("admin_port")};
+    entry.peers = {"127.0.0.1", entry.process->port("peer_port")};
+    if (is_replacement) {
         publish_hosts();
     }
 }
@@ -86,8 +88,8 @@
 void process_fleet::publish_hosts()
 {
     std::vector<site_member> listed;
-    for (host_process const& own : m_hosts) {
-        listed.push_back({own.name, own.callers, own.peers});
+    for (host_process const& entry : m_hosts) {
+        listed.push_back({entry.name, entry.callers, entry.peers});
     }
     platform->publish("hosts", site_hosts(listed));
 }
@@ -102,10 +104,10 @@
     stand_ins::run_for(m_loop, time);
 }
 
-bool process_fleet::is_joined(std::size_t place)
+bool process_fleet::is_joined(std::size_t index)
 {
-    auto const ready = admin(place, "/readyz");
-    auto const status = admin(place, "/status");
+    auto const ready = admin(index, "/readyz");
+    auto const status = admin(index, "/status");
     if (!wait(ready) || !wait(status) || ready->status != 200) {
         return false;
     }
@@ -119,9 +121,9 @@
 
 bool process_fleet::wait_until_joined()
 {
-    for (std::size_t place = 0; place < m_hosts.size(); ++place) {
-        if (!run_until([this, place] {
-                return is_joined(place);
+    for (std::size_t index = 0; index < m_hosts.size(); ++index) {
+        if (!run_until([this, index] {
+                return is_joined(index);
             })) {
             return false;
         }
@@ -132,57 +134,57 @@
 std::shared_ptr<caller_answer>
 process_fleet::call(net::upstream_call const& call)
 {
-    auto made = std::make_shared<caller_answer>();
+    auto answer = std::make_shared<caller_answer>();
     m_client.start(call,
-                   {[made](net::call_head const& head) {
-                        made->status = head.status;
+                   {[answer](net::call_head const& head) {
+                        answer->status = head.status;
                     },
-                    [made](std::string_view bytes) {
-                        made->body.append(bytes);
+                    [answer](std::string_view bytes) {
+                        answer->body.append(bytes);
                     },
-                    [made](net::call_end end) {
-                        made->ended = true;
-                        made->end = end;
+                    [answer](net::call_end end) {
+                        answer->ended = true;
+                        answer->end = end;
                     }});
-    return made;
+    return answer;
 }
 
 std::shared_ptr<caller_answer>
-process_fleet::chat(std::size_t place, std::string const& prompt, int tokens)
+process_fleet::chat(std::size_t index, std::string const& prompt, int tokens)
 {
     nlohmann::json const body{
         {"model", site_model},
         {"stream", true},
         {"max_tokens", tokens},
         {"messages", {{{"role", "user"}, {"content", prompt}}}}};
-    net::upstream_call made;
-    made.to = m_hosts[place].callers;
-    made.path = "/v1/chat/completions";
-    made.body = body.dump();
-    made.headers = {{"Authorization", std::string("Bearer ") + site_key}};
-    return call(made);
+    net::upstream_call request;
+    request.to = m_hosts[index].callers;
+    request.path = "/v1/chat/completions";
+    request.body = body.dump();
+    request.headers = {{"Authorization", std::string("Bearer ") + site_key}};
+    return call(request);
 }
 
 std::shared_ptr<caller_answer>
-process_fleet::book(std::size_t place, std::string const& idempotency_key)
+process_fleet::book(std::size_t index, std::string const& idempotency_key)
 {
-    net::upstream_call made;
-    made.to = m_hosts[place].callers;
-    made.path = "/services/ledger/reserve";
-    made.body = R"({"case":1})";
-    made.headers = {{"Authorization", std::string("Bearer ") + site_key},
-                    {"Idempotency-Key", idempotency_key}};
-    return call(made);
+    net::upstream_call request;
+    request.to = m_hosts[index].callers;
+    request.path = "/services/ledger/reserve";
+    request.body = R"({"case":1})";
+    request.headers = {{"Authorization", std::string("Bearer ") + site_key},
+                       {"Idempotency-Key", idempotency_key}};
+    return call(request);
 }
 
-std::shared_ptr<caller_answer> process_fleet::admin(std::size_t place,
+std::shared_ptr<caller_answer> process_fleet::admin(std::size_t index,
                                                     std::string const& path)
 {
-    net::upstream_call made;
-    made.to = m_hosts[place].admin;
-    made.path = path;
-    made.method = "GET";
-    return call(made);
+    net::upstream_call request;
+    request.to = m_hosts[index].admin;
+    request.path = path;
+    request.method = "GET";
+    return call(request);
 }
 
 bool process_fleet::wait(std::shared_ptr<caller_answer> const& pending)
--- a/stand_ins/process_fleet.hpp
+++ b/stand_ins/process_fleet.hpp
@@ -16,7 +16,7 @@
 
 namespace caperjunction::stand_ins {
 
-/// A caller's view of one answer.
+/// The answer to one request, as its caller received it so far.
 struct caller_answer
 {
     int status = 0;
@@ -27,18 +27,18 @@
 
 struct process_fleet_options
 {
-    /// Path of the router's program.
+    /// Path of the router executable.
     std::string program;
     std::size_t hosts = 2;
     std::size_t engines = 2;
     engine_settings engine;
     service_settings service;
-    /// Flags for every host, beside those that name it.
+    /// Flags of every host, in addition to those that identify it.
     std::vector<std::string> flags;
 };
 
-/// Router hosts as processes of their own; platform, engines and service are
-/// stand-ins on the given loop, and so are the callers.
+/// A fleet of router processes. The platform, the engines, the service and
+/// the callers run in the test process, on the given loop.
 ///
 /// Thread safety: none.
 class process_fleet
@@ -47,19 +47,21 @@
     process_fleet(runtime::event_loop& loop, process_fleet_options options);
     ~process_fleet();
 
-    /// Runs until `done` holds; false if it didn't within a generous limit.
+    /// Runs the loop until `done` returns true. Returns false after 30 s.
     bool run_until(std::function<bool()> const& done);
     void run_for(model::milliseconds time);
 
-    /// Starts a new process under the name of host `place`, and lists it.
-    void start_host(std::size_t place);
+    /// Starts a new process with the name of the host at `index`. A
+    /// replacement is published in the list of hosts.
+    void start_host(std::size_t index);
 
-    /// Runs until all running hosts are ready and see each other.
+    /// Runs the loop until every host is ready and sees all hosts as alive.
+    /// Returns false if a host takes longer than 30 s.
     bool wait_until_joined();
 
-    child_process& host(std::size_t place)
+    child_process& host(std::size_t index)
     {
-        return *m_hosts[place].process;
+        return *m_hosts[index].process;
     }
 
     std::size_t hosts() const
@@ -68,10 +70,10 @@
     }
 
     std::shared_ptr<caller_answer>
-    chat(std::size_t place, std::string const& prompt, int tokens);
-    std::shared_ptr<caller_answer> book(std::size_t place,
+    chat(std::size_t index, std::string const& prompt, int tokens);
+    std::shared_ptr<caller_answer> book(std::size_t index,
                                         std::string const& idempotency_key);
-    std::shared_ptr<caller_answer> admin(std::size_t place,
+    std::shared_ptr<caller_answer> admin(std::size_t index,
                                          std::string const& path);
     bool wait(std::shared_ptr<caller_answer> const& pending);
 
@@ -90,7 +92,7 @@
     };
 
     void publish_hosts();
-    bool is_joined(std::size_t place);
+    bool is_joined(std::size_t index);
     std::shared_ptr<caller_answer> call(net::upstream_call const& call);
 
     runtime::event_loop& m_loop;
--- a/stand_ins/run_loop.cpp
+++ b/stand_ins/run_loop.cpp
@@ -7,17 +7,18 @@
 namespace caperjunction::stand_ins {
 namespace {
 
-constexpr std::chrono::seconds patience{30};
-constexpr model::milliseconds longest_turn{2};
+constexpr std::chrono::seconds timeout{30};
+constexpr model::milliseconds max_iteration_time{2};
 
 } // namespace
 
 bool run_until(runtime::event_loop& loop, std::function<bool()> const& done)
 {
-    auto const limit = std::chrono::steady_clock::now() + patience;
-    while (!done() && std::chrono::steady_clock::now() < limit) {
-        // A timer ends each turn, so that none waits long for a socket.
-        loop.after(longest_turn, [] {});
+    auto const deadline = std::chrono::steady_clock::now() + timeout;
+    while (!done() && std::chrono::steady_clock::now() < deadline) {
+        // The timer bounds each iteration; otherwise `done` is not checked
+        // until the next socket event.
+        loop.after(max_iteration_time, [] {});
         event_base_loop(loop.base(), EVLOOP_ONCE);
     }
     return done();
@@ -25,12 +26,12 @@
 
 void run_for(runtime::event_loop& loop, model::milliseconds time)
 {
-    bool over = false;
-    loop.after(time, [&over] {
-        over = true;
+    bool has_elapsed = false;
+    loop.after(time, [&has_elapsed] {
+        has_elapsed = true;
     });
-    run_until(loop, [&over] {
-        return over;
+    run_until(loop, [&has_elapsed] {
+        return has_elapsed;
     });
 }
 
--- a/stand_ins/run_loop.hpp
+++ b/stand_ins/run_loop.hpp
@@ -8,13 +8,13 @@
 
 namespace caperjunction::stand_ins {
 
-/// Runs the loop until `done` holds; false if it didn't within a limit that
-/// only a hanging test reaches.
+/// Runs the loop until `done` returns true. Returns false after 30 s, which
+/// only a test that hangs reaches.
 ///
 /// Thread safety: none; for the thread that owns the loop.
 bool run_until(runtime::event_loop& loop, std::function<bool()> const& done);
 
-/// Runs the loop for about that long, whatever happens.
+/// Runs the loop for about `time`.
 void run_for(runtime::event_loop& loop, model::milliseconds time);
 
 } // namespace caperjunction::stand_ins
--- a/stand_ins/service.cpp
+++ b/stand_ins/service.cpp
@@ -26,27 +26,28 @@
 {
     std::string const path = call->path();
     if (path.compare(0, 8, "/control") == 0) {
-        control(*call);
+        handle_control(*call);
         return;
     }
     if (m_crash_before) {
         call->abort();
         return;
     }
-    // Read now: the client may be gone when the call is executed.
+    // Read here because the request is no longer accessible if the client
+    // disconnects before the execution.
     std::string const key = call->header("Idempotency-Key");
     std::string const method = call->method();
     if (m_settings.delay.count() == 0) {
         execute(*call, key, method, path);
         return;
     }
-    auto const place = m_delayed.emplace(m_delayed.end());
-    *place =
-        std::make_unique<timer>(m_base, [this, place, call, key, method, path] {
+    auto const entry = m_delayed.emplace(m_delayed.end());
+    *entry =
+        std::make_unique<timer>(m_base, [this, entry, call, key, method, path] {
             execute(*call, key, method, path);
-            m_delayed.erase(place);
+            m_delayed.erase(entry);
         });
-    (*place)->start(m_settings.delay);
+    (*entry)->start(m_settings.delay);
 }
 
 void service::execute(exchange& call,
@@ -67,7 +68,7 @@
     call.reply_json(200, answer.dump());
 }
 
-void service::control(exchange& call)
+void service::handle_control(exchange& call)
 {
     if (call.path() == "/control/executions") {
         call.reply_json(200, nlohmann::json(m_executions).dump());
--- a/stand_ins/service.hpp
+++ b/stand_ins/service.hpp
@@ -13,14 +13,15 @@
 
 namespace caperjunction::stand_ins {
 
-/// Stands in for a plain service; it executes whatever it is sent, as often
-/// as it is sent, and counts that by Idempotency-Key ("" without one).
+/// Stand-in for a service without deduplication. Executes every request, also
+/// repeated ones, and counts executions by Idempotency-Key ("" without one).
 ///
 /// For tests: POST /control {"crash_before":true} or {"crash_after":true}
-/// closes each connection without a reply before or after executing,
-/// {"delay_ms":N}; GET /control/executions → {"KEY":COUNT,...}.
+/// closes each connection without a reply, before or after the execution;
+/// {"delay_ms":N} sets the delay. GET /control/executions returns
+/// {"KEY":COUNT,...}.
 ///
-/// Thread safety: none; lives on the event_base's thread.
+/// Thread safety: none; used on the event_base's thread only.
 class service
 {
 public:
@@ -41,7 +42,7 @@
         return address().port;
     }
 
-    /// Executions so far by key.
+    /// Returns the number of executions by Idempotency-Key.
     std::map<std::string, std::uint64_t> const& executions() const
     {
         return m_executions;
@@ -59,7 +60,7 @@
 
 private:
     void handle(std::shared_ptr<exchange> const& call);
-    void control(exchange& call);
+    void handle_control(exchange& call);
     void execute(exchange& call,
                  std::string const& key,
                  std::string const& method,
--- a/stand_ins/service_settings.hpp
+++ b/stand_ins/service_settings.hpp
@@ -8,12 +8,12 @@
 
 namespace caperjunction::stand_ins {
 
-/// How the stand-in of a plain service behaves.
+/// Settings of the service stand-in.
 struct service_settings
 {
     model::endpoint listen{"127.0.0.1", 0};
     std::string name = "service-1";
-    /// From a call to its execution.
+    /// Time from a call to its execution.
     std::chrono::milliseconds delay{0};
 };
 
--- a/stand_ins/site_lists.cpp
+++ b/stand_ins/site_lists.cpp
@@ -11,14 +11,14 @@
 using nlohmann::json;
 
 constexpr char const* salt = "0123456789abcdef0123456789abcdef";
-constexpr int slots = 256;
+constexpr int slots_per_engine = 256;
 
 json address_of(model::endpoint const& address)
 {
     return {{"address", address.address}, {"port", address.port}};
 }
 
-json place_of(site_member const& member)
+json location_of(site_member const& member)
 {
     return {
         {"name", member.name}, {"region", "west"}, {"data_centre", "west-a"}};
@@ -71,7 +71,7 @@
 {
     json list = json::array();
     for (site_member const& host : hosts) {
-        json item = place_of(host);
+        json item = location_of(host);
         item["callers"] = address_of(host.address);
         item["peers"] = address_of(host.peers);
         list.push_back(item);
@@ -84,15 +84,15 @@
 {
     json engine_list = json::array();
     for (site_member const& engine : engines) {
-        json item = place_of(engine);
+        json item = location_of(engine);
         item["address"] = address_of(engine.address);
         item["models"] = {site_model};
-        item["slots"] = slots;
+        item["slots"] = slots_per_engine;
         engine_list.push_back(item);
     }
     json service_list = json::array();
     for (site_member const& ledger : ledgers) {
-        json item = place_of(ledger);
+        json item = location_of(ledger);
         item["address"] = address_of(ledger.address);
         item["service"] = "ledger";
         service_list.push_back(item);
--- a/stand_ins/site_lists.hpp
+++ b/stand_ins/site_lists.hpp
@@ -8,22 +8,22 @@
 
 namespace caperjunction::stand_ins {
 
-/// A host or upstream of a small site, all in one data centre.
+/// A host or upstream of the test site, which has one data centre.
 struct site_member
 {
     std::string name;
     model::endpoint address;
-    /// Hosts only: where peers reach it.
+    /// Address for peers. Hosts only.
     model::endpoint peers;
 };
 
-/// API keys of the small site: team `desk` has a plan with model and ledger,
-/// team `poor` has one that includes nothing.
+/// API keys of the test site. The plan of team `desk` includes the models and
+/// the ledger service; the plan of team `poor` includes nothing.
 inline constexpr char const* site_key = "desk.secret";
 inline constexpr char const* site_unentitled_key = "poor.secret";
 inline constexpr char const* site_model = "drafter";
 
-/// The published values of a small site, as JSON.
+/// Return the values that the platform publishes for the test site, as JSON.
 std::string site_plans();
 std::string site_entitlements();
 std::string site_hosts(std::vector<site_member> const& hosts);
--- a/stand_ins/timer.cpp
+++ b/stand_ins/timer.cpp
@@ -6,17 +6,17 @@
 
 timer::timer(event_base* base, std::function<void()> hook)
     : m_hook(std::move(hook))
-    , m_event(evtimer_new(base, &timer::expired, this), &event_free)
+    , m_event(evtimer_new(base, &timer::handle_expiry, this), &event_free)
 {
 }
 
 void timer::start(std::chrono::microseconds delay)
 {
     constexpr std::int64_t us_per_second = 1'000'000;
-    timeval wait{};
-    wait.tv_sec = delay.count() / us_per_second;
-    wait.tv_usec = delay.count() % us_per_second;
-    evtimer_add(m_event.get(), &wait);
+    timeval timeout{};
+    timeout.tv_sec = delay.count() / us_per_second;
+    timeout.tv_usec = delay.count() % us_per_second;
+    evtimer_add(m_event.get(), &timeout);
 }
 
 void timer::stop()
@@ -24,9 +24,11 @@
     evtimer_del(m_event.get());
 }
 
-void timer::expired(evutil_socket_t /*socket*/, short /*what*/, void* self)
+void timer::handle_expiry(evutil_socket_t /*socket*/,
+                          short /*what*/,
+                          void* self)
 {
-    // A copy, since the hook may destroy its timer.
+    // Copied because the hook may destroy this timer.
     std::function<void()> const hook = static_cast<timer*>(self)->m_hook;
     hook();
 }
--- a/stand_ins/timer.hpp
+++ b/stand_ins/timer.hpp
@@ -9,9 +9,10 @@
 
 namespace caperjunction::stand_ins {
 
-/// Calls a hook once, after a delay, on the event_base's thread.
+/// One-shot timer that calls a hook on the event_base's thread.
 ///
-/// Thread safety: none. Destroying it, also from within its hook, cancels it.
+/// Thread safety: none. Destruction cancels the timer and is allowed from
+/// within the hook.
 class timer
 {
 public:
@@ -21,12 +22,12 @@
     timer& operator=(timer const&) = delete;
     ~timer() = default;
 
-    /// Starts it; a start while it runs replaces the earlier delay.
+    /// Starts the timer. If it is already running, restarts it with `delay`.
     void start(std::chrono::microseconds delay);
     void stop();
 
 private:
-    static void expired(evutil_socket_t socket, short what, void* self);
+    static void handle_expiry(evutil_socket_t socket, short what, void* self);
 
     std::function<void()> m_hook;
     std::unique_ptr<event, decltype(&event_free)> m_event;
--- a/stand_ins/token_text.hpp
+++ b/stand_ins/token_text.hpp
@@ -7,15 +7,16 @@
 
 namespace caperjunction::stand_ins {
 
-/// Four hex digits that tell prompts apart; part of each token, so that an
-/// answer which reaches the wrong caller is seen.
+/// Returns four hex digits derived from the prompt. They are part of each
+/// token, so that tests detect an answer that reaches the wrong caller.
 std::string prompt_tag(std::string_view prompt);
 
-/// The text of an output token, e.g. "t0-1f3a ". Every engine gives the same
-/// for the same prompt, so that a resumed answer shows loss and doubling.
+/// Returns the text of an output token, e.g. "t0-1f3a ". It is the same on
+/// every engine, so that tests detect lost and duplicated tokens in an answer
+/// that another engine resumed.
 std::string token_text(std::string_view tag, std::uint32_t index);
 
-/// The whole answer to a prompt.
+/// Returns the complete answer to a prompt.
 std::string answer_text(std::string_view prompt, std::uint32_t tokens);
 
 } // namespace caperjunction::stand_ins
--- a/tests/stand_ins/engine_test.cpp
+++ b/tests/stand_ins/engine_test.cpp
@@ -22,7 +22,7 @@
     return body.dump();
 }
 
-/// The texts of all events, joined.
+/// Returns the concatenated texts of all stream events.
 std::string text_of(std::string const& stream)
 {
     std::string text;
@@ -44,20 +44,21 @@
 struct fixture
 {
     explicit fixture(stand_ins::engine_settings settings = {})
-        : engine(loop.base(), fast(std::move(settings)))
+        : engine(loop.base(), without_delays(std::move(settings)))
     {
     }
 
-    static stand_ins::engine_settings fast(stand_ins::engine_settings settings)
+    static stand_ins::engine_settings
+    without_delays(stand_ins::engine_settings settings)
     {
         settings.tokens_per_second = 0;
         settings.first_token_delay = std::chrono::milliseconds(0);
         return settings;
     }
 
-    std::unique_ptr<http_call> ask(std::string const& text,
-                                   int tokens,
-                                   http_call::headers const& extra = {})
+    std::unique_ptr<http_call> send(std::string const& text,
+                                    int tokens,
+                                    http_call::headers const& extra = {})
     {
         return std::make_unique<http_call>(loop,
                                            engine.address(),
@@ -67,10 +68,10 @@
                                            extra);
     }
 
-    bool finishes(http_call const& call)
+    bool run_until_ended(http_call const& call)
     {
         return loop.run_until([&] {
-            return call.is_over();
+            return call.has_ended();
         });
     }
 
@@ -80,25 +81,25 @@
 
 } // namespace
 
-TEST_CASE("an answer that is resumed is the same as one in one piece")
+TEST_CASE("a resumed answer equals an uninterrupted one")
 {
     fixture test;
-    auto const whole = test.ask(prompt, 40);
-    auto const rest =
-        test.ask(prompt, 40, {{"caperjunction-resume-offset", "25"}});
-    REQUIRE(test.finishes(*whole));
-    REQUIRE(test.finishes(*rest));
-    CHECK(text_of(whole->body()) == stand_ins::answer_text(prompt, 40));
-    CHECK(stand_ins::answer_text(prompt, 25) + text_of(rest->body())
-          == text_of(whole->body()));
-    CHECK(whole->body().find("data: [DONE]") != std::string::npos);
+    auto const uninterrupted = test.send(prompt, 40);
+    auto const resumed =
+        test.send(prompt, 40, {{"caperjunction-resume-offset", "25"}});
+    REQUIRE(test.run_until_ended(*uninterrupted));
+    REQUIRE(test.run_until_ended(*resumed));
+    CHECK(text_of(uninterrupted->body()) == stand_ins::answer_text(prompt, 40));
+    CHECK(stand_ins::answer_text(prompt, 25) + text_of(resumed->body())
+          == text_of(uninterrupted->body()));
+    CHECK(uninterrupted->body().find("data: [DONE]") != std::string::npos);
     CHECK(test.engine.counters().resumed == 1);
     CHECK(test.engine.counters().tokens == 55);
 }
 
-// A caller loses patience and closes while its answer is computed. Its slot
-// must serve the next one, and of those waiting the most urgent goes first.
-TEST_CASE("a client that hangs up frees its slot for the most urgent")
+// Guards against slots that stay occupied after a client disconnects during
+// its answer, and against waiting requests that are not served by priority.
+TEST_CASE("a client that disconnects frees its slot for the most urgent")
 {
     stand_ins::engine_settings settings;
     settings.slots = 1;
@@ -106,31 +107,35 @@
     stand_ins::engine_faults stalls;
     stalls.stall_after_tokens = 2;
     test.engine.set_faults(stalls);
-    auto const first = test.ask(prompt, 10);
+    auto const first = test.send(prompt, 10);
     REQUIRE(test.loop.run_until([&] {
         return test.engine.counters().stalled == 1;
     }));
     test.engine.set_faults({});
-    auto const late = test.ask("low", 3, {{"caperjunction-priority", "5"}});
-    auto const soon = test.ask("high", 3, {{"caperjunction-priority", "1"}});
+    auto const less_urgent =
+        test.send("low", 3, {{"caperjunction-priority", "5"}});
+    auto const more_urgent =
+        test.send("high", 3, {{"caperjunction-priority", "1"}});
     REQUIRE(test.loop.run_until([&] {
         return test.engine.waiting() == 2;
     }));
-    bool late_was_open = false;
-    first->hang_up();
+    bool less_urgent_was_open = false;
+    first->close();
     REQUIRE(test.loop.run_until([&] {
-        late_was_open = late_was_open || (soon->is_over() && !late->is_over());
-        return soon->is_over() && late->is_over();
+        less_urgent_was_open =
+            less_urgent_was_open
+            || (more_urgent->has_ended() && !less_urgent->has_ended());
+        return more_urgent->has_ended() && less_urgent->has_ended();
     }));
-    CHECK(late_was_open);
+    CHECK(less_urgent_was_open);
     CHECK(test.engine.counters().cancelled == 1);
     CHECK(test.engine.counters().wasted_tokens == 2);
     CHECK(test.engine.running() == 0);
 }
 
-// A prompt crashes whichever engine runs it, and its caller sends it again.
-// Everyone else on that engine is cut off in the middle.
-TEST_CASE("a killer request cuts off its neighbours, each time")
+// The prompt crashes every engine that runs it, and its caller retries. Each
+// crash must also end the other answers on the engine.
+TEST_CASE("a request that crashes the engine ends all its answers, each time")
 {
     stand_ins::engine_settings settings;
     settings.restart_delay = std::chrono::milliseconds(1);
@@ -140,46 +145,46 @@
     faults.stall_after_tokens = 1;
     for (std::uint64_t round = 1; round <= 2; ++round) {
         test.engine.set_faults(faults);
-        auto neighbour = test.ask(prompt, 5);
-        // It may come too early, while the engine is still away.
+        auto other = test.send(prompt, 5);
+        // The request may arrive while the engine is still restarting.
         REQUIRE(test.loop.run_until([&] {
-            if (neighbour->is_over()) {
-                neighbour = test.ask(prompt, 5);
+            if (other->has_ended()) {
+                other = test.send(prompt, 5);
             }
             return test.engine.running() == 1;
         }));
-        auto const killer = test.ask("a killer prompt", 5);
-        REQUIRE(test.finishes(*killer));
-        REQUIRE(test.finishes(*neighbour));
-        CHECK(neighbour->body().find("[DONE]") == std::string::npos);
+        auto const crashing = test.send("a killer prompt", 5);
+        REQUIRE(test.run_until_ended(*crashing));
+        REQUIRE(test.run_until_ended(*other));
+        CHECK(other->body().find("[DONE]") == std::string::npos);
         CHECK(test.engine.counters().crashes == round);
     }
     CHECK(test.engine.counters().finished == 0);
 }
 
-// Something between the two ends has lost the connection: it stays open, but
-// nothing comes any more. New connections work.
-TEST_CASE("a silenced stream stays open while new ones are served")
+// Simulates a connection that the network has lost: it stays open but
+// delivers nothing. New connections work.
+TEST_CASE("a stalled stream stays open while new ones are served")
 {
     fixture test;
     stand_ins::engine_faults stalls;
     stalls.stall_after_tokens = 3;
     test.engine.set_faults(stalls);
-    auto const silent = test.ask(prompt, 5);
+    auto const stalled = test.send(prompt, 5);
     REQUIRE(test.loop.run_until([&] {
         return test.engine.counters().stalled == 1;
     }));
     test.engine.set_faults({});
-    auto const fresh = test.ask(prompt, 5);
-    REQUIRE(test.finishes(*fresh));
-    CHECK(fresh->status() == 200);
-    CHECK(!silent->is_over());
+    auto const next = test.send(prompt, 5);
+    REQUIRE(test.run_until_ended(*next));
+    CHECK(next->status() == 200);
+    CHECK(!stalled->has_ended());
     CHECK(test.engine.running() == 1);
 }
 
-// An orderer that was paused wakes up and sends an order from before. An
-// engine that checks refuses it; one that doesn't takes it.
-TEST_CASE("an old fencing number is refused only by engines that check")
+// A host that was paused resumes and sends an outdated order. An engine that
+// checks fencing numbers refuses it; one that does not check executes it.
+TEST_CASE("an old fencing number is refused only by engines that check it")
 {
     for (bool const checks : {true, false}) {
         stand_ins::engine_settings settings;
@@ -194,7 +199,7 @@
                 "/v1/orders",
                 fmt::format(R"({{"fencing":{},"model":"m","action":"load"}})",
                             fencing));
-            REQUIRE(test.finishes(order));
+            REQUIRE(test.run_until_ended(order));
             status = order.status();
         }
         CHECK(status == (checks ? 409 : 200));
--- a/tests/stand_ins/http_client.cpp
+++ b/tests/stand_ins/http_client.cpp
@@ -5,8 +5,8 @@
 namespace caperjunction::testing {
 namespace {
 
-// Only a test that fails waits so long.
-constexpr timeval patience{20, 0};
+// Reached only by a failing test.
+constexpr timeval timeout{20, 0};
 
 } // namespace
 
@@ -15,19 +15,19 @@
 {
 }
 
-bool test_loop::run_until(std::function<bool()> const& happened)
+bool test_loop::run_until(std::function<bool()> const& condition)
 {
-    bool late = false;
+    bool has_expired = false;
     auto const expired = [](evutil_socket_t, short, void* flag) {
         *static_cast<bool*>(flag) = true;
     };
     std::unique_ptr<event, decltype(&event_free)> const guard(
-        evtimer_new(base(), expired, &late), &event_free);
-    evtimer_add(guard.get(), &patience);
-    while (!happened() && !late) {
+        evtimer_new(base(), expired, &has_expired), &event_free);
+    evtimer_add(guard.get(), &timeout);
+    while (!condition() && !has_expired) {
         event_base_loop(base(), EVLOOP_ONCE);
     }
-    return happened();
+    return condition();
 }
 
 http_call::http_call(test_loop& loop,
@@ -53,10 +53,10 @@
 
 http_call::~http_call()
 {
-    hang_up();
+    close();
 }
 
-void http_call::hang_up()
+void http_call::close()
 {
     if (m_connection != nullptr) {
         evhttp_connection_free(m_connection);
@@ -64,7 +64,7 @@
     }
 }
 
-void http_call::take(evhttp_request* request)
+void http_call::append_body(evhttp_request* request)
 {
     evbuffer* const input = evhttp_request_get_input_buffer(request);
     std::size_t const size = evbuffer_get_length(input);
@@ -75,16 +75,16 @@
 
 void http_call::chunk(evhttp_request* request, void* self)
 {
-    static_cast<http_call*>(self)->take(request);
+    static_cast<http_call*>(self)->append_body(request);
 }
 
 void http_call::done(evhttp_request* request, void* self)
 {
     auto* const that = static_cast<http_call*>(self);
-    that->m_over = true;
+    that->m_has_ended = true;
     if (request != nullptr) {
         that->m_status = evhttp_request_get_response_code(request);
-        that->take(request);
+        that->append_body(request);
     }
 }
 
--- a/tests/stand_ins/http_client.hpp
+++ b/tests/stand_ins/http_client.hpp
@@ -13,7 +13,7 @@
 
 namespace caperjunction::testing {
 
-/// An event_base that is run until something has happened.
+/// An event_base that runs until a condition holds.
 class test_loop
 {
 public:
@@ -24,14 +24,14 @@
         return m_base.get();
     }
 
-    /// False if it has not happened within the patience of the test.
-    bool run_until(std::function<bool()> const& happened);
+    /// Runs until `condition` returns true. Returns false after 20 s.
+    bool run_until(std::function<bool()> const& condition);
 
 private:
     std::unique_ptr<event_base, decltype(&event_base_free)> m_base;
 };
 
-/// One call over a connection of its own.
+/// One HTTP call over its own connection.
 class http_call
 {
 public:
@@ -47,37 +47,36 @@
     http_call(http_call const&) = delete;
     http_call& operator=(http_call const&) = delete;
 
-    /// The reply is complete, or the connection broke.
-    bool is_over() const
+    /// Returns whether the reply is complete or the connection has failed.
+    bool has_ended() const
     {
-        return m_over;
+        return m_has_ended;
     }
 
-    /// 0 if the connection broke before a reply was complete.
+    /// Returns 0 if the connection failed before the reply was complete.
     int status() const
     {
         return m_status;
     }
 
-    /// What has come of the body so far.
+    /// Returns the part of the body received so far.
     std::string const& body() const
     {
         return m_body;
     }
 
-    /// Closes the connection.
-    void hang_up();
+    void close();
 
 private:
     static void done(evhttp_request* request, void* self);
     static void chunk(evhttp_request* request, void* self);
 
-    void take(evhttp_request* request);
+    void append_body(evhttp_request* request);
 
     evhttp_connection* m_connection = nullptr;
     std::string m_body;
     int m_status = 0;
-    bool m_over = false;
+    bool m_has_ended = false;
 };
 
 } // namespace caperjunction::testing
--- a/tests/stand_ins/platform_test.cpp
+++ b/tests/stand_ins/platform_test.cpp
@@ -31,10 +31,10 @@
                 "/v1/values/plans" + query};
     }
 
-    bool finishes(http_call const& call)
+    bool run_until_ended(http_call const& call)
     {
         return loop.run_until([&] {
-            return call.is_over();
+            return call.has_ended();
         });
     }
 
@@ -44,67 +44,67 @@
 
 } // namespace
 
-TEST_CASE("a watch is answered by the next publication")
+TEST_CASE("a watch returns the next published revision")
 {
     fixture test(with_plans());
     http_call const first = test.read();
-    REQUIRE(test.finishes(first));
+    REQUIRE(test.run_until_ended(first));
     CHECK(first.body() == R"({"revision":1,"value":{"tiers":[]}})");
     http_call const watch = test.read("?after=1&wait_ms=600000");
     REQUIRE(test.loop.run_until([&] {
         return test.platform.calls() == 2;
     }));
-    CHECK(!watch.is_over());
+    CHECK(!watch.has_ended());
     test.platform.publish("plans", "{}");
-    REQUIRE(test.finishes(watch));
+    REQUIRE(test.run_until_ended(watch));
     CHECK(watch.body() == R"({"revision":2,"value":{}})");
 }
 
-TEST_CASE("a watch that sees nothing new ends with 304")
+TEST_CASE("a watch without a new revision ends with 304")
 {
     fixture test(with_plans());
     http_call const watch = test.read("?after=1&wait_ms=1");
-    REQUIRE(test.finishes(watch));
+    REQUIRE(test.run_until_ended(watch));
     CHECK(watch.status() == 304);
 }
 
-// All hosts restart together and read everything at once. The service counts
-// each call and refuses what goes over its rate.
-TEST_CASE("calls over the rate are refused")
+// Models the load of a fleet whose hosts all restart and read every value at
+// the same time. The platform refuses calls above its rate limit.
+TEST_CASE("calls above the rate limit are refused")
 {
     auto settings = with_plans();
     settings.calls_per_second = 0;
     fixture test(settings);
     http_call const call = test.read();
-    REQUIRE(test.finishes(call));
+    REQUIRE(test.run_until_ended(call));
     CHECK(call.status() == 429);
     CHECK(test.platform.refused_calls() == 1);
 }
 
-// The service is down for a while, and after that answers from a copy that is
-// behind. A reader that trusts it would go back to an older list.
-TEST_CASE("down is an error, and stale is an older revision")
+// After an outage the platform may answer from an outdated replica. A reader
+// that trusts it goes back to an older list.
+TEST_CASE("a platform that is down replies 503, a stale one an old revision")
 {
     fixture test(with_plans());
     test.platform.set_stale(true);
     test.platform.publish("plans", "{}");
     http_call const stale = test.read();
-    REQUIRE(test.finishes(stale));
+    REQUIRE(test.run_until_ended(stale));
     CHECK(stale.body().find(R"("revision":1,)") != std::string::npos);
     test.platform.set_down(true);
     http_call const down = test.read();
-    REQUIRE(test.finishes(down));
+    REQUIRE(test.run_until_ended(down));
     CHECK(down.status() == 503);
     test.platform.set_down(false);
     test.platform.set_stale(false);
     http_call const back = test.read();
-    REQUIRE(test.finishes(back));
+    REQUIRE(test.run_until_ended(back));
     CHECK(back.body().find(R"("revision":2,)") != std::string::npos);
 }
 
-// A service runs a booking and dies before it answers. The caller cannot tell
-// this from a call that never ran; only the service's own count can.
-TEST_CASE("a service that crashes after executing has executed")
+// A caller cannot distinguish a service that crashes after the execution from
+// one that crashes before it. Only the service's execution count shows it.
+TEST_CASE("a service that crashes after the execution counts it")
 {
     testing::test_loop loop;
     stand_ins::service service(loop.base(), {});
@@ -118,7 +118,7 @@
                              "{}",
                              {{"Idempotency-Key", executes ? "a" : "b"}});
         REQUIRE(loop.run_until([&] {
-            return call.is_over();
+            return call.has_ended();
         }));
         CHECK(call.status() == 0);
     }
