--- a/stand_ins/platform.cpp
+++ b/stand_ins/platform.cpp
@@ -157,30 +157,30 @@
                          std::uint64_t after,
                          std::chrono::milliseconds wait)
 {
-    auto const place =
+    auto const entry =
         m_watches.insert(m_watches.end(), {name, after, call, nullptr});
-    place->expiry = std::make_unique<timer>(m_base, [this, place] {
-        place->call->reply(304, "application/json", "");
-        m_watches.erase(place);
+    entry->expiry = std::make_unique<timer>(m_base, [this, entry] {
+        entry->call->reply(304, "application/json", "");
+        m_watches.erase(entry);
     });
-    place->expiry->start(wait);
-    call->on_closed([this, place] {
-        m_watches.erase(place);
+    entry->expiry->start(wait);
+    call->on_closed([this, entry] {
+        m_watches.erase(entry);
     });
 }
 
 void platform::answer_watches()
 {
-    for (auto place = m_watches.begin(); place != m_watches.end();) {
-        auto const found = visible().find(place->name);
+    for (auto entry = m_watches.begin(); entry != m_watches.end();) {
+        auto const found = visible().find(entry->name);
         if (found == visible().end()
-            || found->second.revision <= place->after) {
-            ++place;
+            || found->second.revision <= entry->after) {
+            ++entry;
             continue;
         }
-        place->call->reply_json(
+        entry->call->reply_json(
             200, to_document(found->second.revision, found->second.json));
-        place = m_watches.erase(place);
+        entry = m_watches.erase(entry);
     }
 }
 
@@ -195,12 +195,12 @@
     m_store_available_at =
         std::max(m_store_available_at, now)
         + std::chrono::duration_cast<std::chrono::microseconds>(transfer);
-    auto const place = m_downloads.emplace(m_downloads.end());
-    *place = std::make_unique<timer>(m_base, [this, place, call, bytes] {
+    auto const entry = m_downloads.emplace(m_downloads.end());
+    *entry = std::make_unique<timer>(m_base, [this, entry, call, bytes] {
         call->reply(200, "application/octet-stream", std::string(bytes, '\0'));
-        m_downloads.erase(place);
+        m_downloads.erase(entry);
     });
-    (*place)->start(std::chrono::duration_cast<std::chrono::microseconds>(
+    (*entry)->start(std::chrono::duration_cast<std::chrono::microseconds>(
         m_store_available_at - now));
 }
 
--- a/tools/report/relay.py
+++ b/tools/report/relay.py
@@ -24,8 +24,8 @@
         for name, value in data.items():
             yield from flatten(value, f"{path}.{name}" if path else name)
     elif isinstance(data, list):
-        for place, value in enumerate(data):
-            name = value.get("name", place) if isinstance(value, dict) else place
+        for i, value in enumerate(data):
+            name = value.get("name", i) if isinstance(value, dict) else i
             yield from flatten(value, f"{path}[{name}]")
 
 
