--- a/src/proxy/exchange.cpp
+++ b/src/proxy/exchange.cpp
@@ -80,7 +80,7 @@
         routes.begin(), routes.end(), [&](routing::route const& other) {
             return other.has_prompt_affinity && other.rank > m_route->rank;
         });
-    m_context.allowance(m_service).record_request();
+    m_context.retry_budget_for(m_service).record_request();
     auto const timeout = std::min(
         m_metadata.deadline.value_or(m_route->timeout), m_route->timeout);
     m_deadline = m_arrived + std::max(timeout - return_margin, return_margin);
@@ -176,7 +176,8 @@
     m_report.config_version = m_table ? m_table->config().version : 0;
     m_report.config_age = m_context.keys.age(m_context.boot_now());
     if (!m_service.empty()) {
-        m_report.budget_left = m_context.allowance(m_service).available();
+        m_report.budget_left =
+            m_context.retry_budget_for(m_service).available();
     }
 }
 
--- a/src/proxy/exchange_send.cpp
+++ b/src/proxy/exchange_send.cpp
@@ -155,7 +155,7 @@
     routing::attempt_state after = m_state;
     ++after.sent;
     return routing::may_retry(*m_route, result, after)
-           && m_context.allowance(m_service).available() >= 1.0;
+           && m_context.retry_budget_for(m_service).available() >= 1.0;
 }
 
 bool exchange::acquire_retry(attempt_end result)
@@ -164,7 +164,8 @@
         return false;
     }
     // An attempt that reached no upstream does not count as a retry.
-    return m_state.sent == 0 || m_context.allowance(m_service).try_acquire();
+    return m_state.sent == 0
+           || m_context.retry_budget_for(m_service).try_acquire();
 }
 
 void exchange::attempt_ended(attempt_end result)
--- a/src/proxy/limit_notices.cpp
+++ b/src/proxy/limit_notices.cpp
@@ -91,13 +91,13 @@
     std::vector<routing::advertised_limit> list;
     auto const now = context.loop.now();
     context.directory.each([&](routing::upstream_state const& state) {
-        routing::limit_notice const& own = state.own_limit;
+        routing::limit_notice const& limit = state.own_limit;
         auto const age = std::chrono::duration_cast<model::milliseconds>(
-            now - own.received_at);
-        bool const is_set = own.received_at != model::time_point{};
+            now - limit.received_at);
+        bool const is_set = limit.received_at != model::time_point{};
         if (is_set && age < advertised_for && list.size() < max_advertised) {
             list.push_back({routing::upstream_load_key(state.description.id),
-                            own.requests_per_second,
+                            limit.requests_per_second,
                             age});
         }
     });
--- a/src/proxy/message_text.cpp
+++ b/src/proxy/message_text.cpp
@@ -21,10 +21,12 @@
 /// Whether a header of the caller is not forwarded to upstreams unchanged.
 bool is_withheld(std::string_view name, wire_names const& names)
 {
-    bool const is_own = std::any_of(
-        names.host_only.begin(), names.host_only.end(), [&](auto const& own) {
-            return header_names_equal(name, own);
-        });
+    bool const is_own =
+        std::any_of(names.host_only.begin(),
+                    names.host_only.end(),
+                    [&](auto const& reserved) {
+                        return header_names_equal(name, reserved);
+                    });
     return is_own || is_hop_by_hop(name)
            || header_names_equal(name, "Authorization")
            || header_names_equal(name, "Expect")
--- a/src/proxy/relay_context.hpp
+++ b/src/proxy/relay_context.hpp
@@ -43,7 +43,7 @@
     upstream_pool pool;
     routing::peer_table peers;
     routing::crash_suspects suspects;
-    std::map<std::string, routing::retry_budget> allowances;
+    std::map<std::string, routing::retry_budget> retry_budgets;
     /// Running streams of the most urgent rank on this host, by service.
     std::map<std::string, std::uint32_t> urgent_streams;
     /// Called when a request is retried, before the next attempt.
@@ -105,8 +105,8 @@
     /// all hosts.
     std::uint32_t fleet_urgent_streams(std::string const& service) const
     {
-        auto const own = urgent_streams.find(service);
-        return (own == urgent_streams.end() ? 0 : own->second)
+        auto const local = urgent_streams.find(service);
+        return (local == urgent_streams.end() ? 0 : local->second)
                + peers.load_of(routing::urgent_load_key(service)).load.running;
     }
 
@@ -117,20 +117,20 @@
     double retry_burst() const
     {
         constexpr double assumed_hosts = 27.0;
-        constexpr double spent_at_once = 0.8;
+        constexpr double burst_share = 0.8;
         bool const is_alone = peers.largest_fleet_seen() < 2;
         double const hosts =
             is_alone ? assumed_hosts
                      : static_cast<double>(peers.largest_fleet_seen());
-        return std::max(1.0, settings.retry_extra * spent_at_once / hosts);
+        return std::max(1.0, settings.retry_extra * burst_share / hosts);
     }
 
     /// Returns the retry budget for `service`.
-    routing::retry_budget& allowance(std::string const& service)
+    routing::retry_budget& retry_budget_for(std::string const& service)
     {
         double const burst = retry_burst();
         auto& budget =
-            allowances.try_emplace(service, settings.retry_ratio, burst)
+            retry_budgets.try_emplace(service, settings.retry_ratio, burst)
                 .first->second;
         budget.burst(burst);
         return budget;
--- a/tests/proxy/peer_fetcher_test.cpp
+++ b/tests/proxy/peer_fetcher_test.cpp
@@ -59,10 +59,10 @@
              outcome = ended.outcome;
          }}};
 
-    void run(model::milliseconds longest)
+    void run(model::milliseconds timeout)
     {
         fetcher.ask(peer.at(), program::upstreams_path, 0);
-        auto const limit = loop.now() + longest;
+        auto const limit = loop.now() + timeout;
         while (outcome.empty() && loop.now() < limit) {
             loop.run_once();
         }
--- a/tests/proxy/relay_bytes_test.cpp
+++ b/tests/proxy/relay_bytes_test.cpp
@@ -207,12 +207,12 @@
 {
     std::string const head =
         "HTTP/1.1 200 OK\r\nAttempt-Id: @ID@\r\nResponse-Seal: s1\r\n\r\n";
-    relay_fixture whole;
-    whole.add("i-1", "ledger", [&](received const&) -> script {
+    relay_fixture complete;
+    complete.add("i-1", "ledger", [&](received const&) -> script {
         return {head + "all of it", true};
     });
-    auto const caller = whole.send(relay_fixture::request("/book/"));
-    REQUIRE(whole.run_until([&] {
+    auto const caller = complete.send(relay_fixture::request("/book/"));
+    REQUIRE(complete.run_until([&] {
         return caller->received_bytes.find("all of it") != std::string::npos;
     }));
     CHECK(caller->received_bytes.find("HTTP/1.1 200") == 0);
--- a/tests/proxy/relay_faults_test.cpp
+++ b/tests/proxy/relay_faults_test.cpp
@@ -116,12 +116,12 @@
 {
     relay_fixture fixture;
     fixture.add("i-1", "ledger", [](received const&) -> script {
-        std::string const whole = valid_answer("seen");
+        std::string const complete = valid_answer("seen");
         std::string const begin = "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\n";
         return {"",
                 false,
                 false,
-                begin + whole.substr(whole.find("Response-Seal")),
+                begin + complete.substr(complete.find("Response-Seal")),
                 400ms};
     });
     auto const caller = fixture.send(relay_fixture::request("/view/"));
--- a/tests/proxy/scripted_upstream.cpp
+++ b/tests/proxy/scripted_upstream.cpp
@@ -33,8 +33,12 @@
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     m_listener = evconnlistener_new_bind(
         loop.base(),
-        [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* own) {
-            static_cast<scripted_upstream*>(own)->accept(socket);
+        [](evconnlistener*,
+           evutil_socket_t socket,
+           sockaddr*,
+           int,
+           void* self) {
+            static_cast<scripted_upstream*>(self)->accept(socket);
         },
         this,
         LEV_OPT_CLOSE_ON_FREE,
