--- a/src/proxy/exchange_report.hpp
+++ b/src/proxy/exchange_report.hpp
@@ -43,7 +43,8 @@
     /// Upstreams that received the request.
     std::uint32_t sent = 0;
     std::uint32_t unreached = 0;
-    /// Upstreams that were skipped because they had advertised a request limit.
+    /// Upstreams that accepted no more requests because of a limit that they
+    /// had stated themselves.
     std::size_t limited = 0;
     /// Values of the last pick.
     model::milliseconds forecast{0};
--- a/src/proxy/relay.cpp
+++ b/src/proxy/relay.cpp
@@ -25,7 +25,7 @@
 /// A loop whose timers run this late lacks processor time.
 constexpr model::milliseconds min_reported_lateness{250};
 
-/// Time before the end of the process in which final answers are sent.
+/// Part of `routing::final_write_time` in which final answers are sent.
 constexpr model::milliseconds final_answer_time{100};
 
 /// Time within which a caller sends the first request on a new connection, or
--- a/src/proxy/store_reader.cpp
+++ b/src/proxy/store_reader.cpp
@@ -51,7 +51,7 @@
 
 store_reader::~store_reader()
 {
-    m_loop.cancel(m_retry_timer);
+    m_loop.cancel(m_delay_timer);
 }
 
 void store_reader::start(model::milliseconds wait,
@@ -69,7 +69,7 @@
 
 void store_reader::send_request(
     std::string const& target,
-    model::milliseconds limit,
+    model::milliseconds first_byte_timeout,
     std::function<void(int, std::string const&)> on_answer)
 {
     m_sent_at = m_boot_now();
@@ -80,7 +80,7 @@
     // Later attempts wait longer, because a store that answers slowly is not
     // unavailable.
     auto const extra_time = read_timeout * std::min(m_failures, 3U);
-    request.first_byte_timeout = limit + extra_time;
+    request.first_byte_timeout = first_byte_timeout + extra_time;
     request.idle_timeout = read_timeout + extra_time;
     m_get.start(request,
                 {std::move(on_answer), [this](std::string_view reason) {
@@ -133,14 +133,14 @@
     m_hooks.on_complete(m_keys);
     m_confirmed = m_sent_at;
     m_hooks.on_confirmed(m_confirmed, m_revision);
-    wait_or_watch();
+    idle_or_watch();
 }
 
 void store_reader::set_watching(bool on)
 {
     m_keeps_watching = on;
     if (on && m_is_idle) {
-        wait_or_watch();
+        idle_or_watch();
     }
 }
 
@@ -159,7 +159,7 @@
     }
 }
 
-void store_reader::wait_or_watch()
+void store_reader::idle_or_watch()
 {
     m_polls_once = false;
     m_is_idle = !m_keeps_watching;
@@ -224,14 +224,14 @@
         m_sent_at + (waited ? m_requested_wait : model::milliseconds{0});
     m_hooks.on_confirmed(m_confirmed, m_revision);
     if (changes.items.empty()) {
-        wait_or_watch();
+        idle_or_watch();
         return;
     }
     // Changes come in batches: the next request returns the rest of a batch at
     // once.
-    m_loop.cancel(m_retry_timer);
-    m_retry_timer = m_loop.after(batch_time, [this] {
-        wait_or_watch();
+    m_loop.cancel(m_delay_timer);
+    m_delay_timer = m_loop.after(batch_time, [this] {
+        idle_or_watch();
     });
 }
 
@@ -255,8 +255,8 @@
         std::min(min_retry_delay * (1U << std::min(m_failures, 8U)),
                  has_other_watchers ? max_idle_retry_delay : max_retry_delay);
     ++m_failures;
-    m_loop.cancel(m_retry_timer);
-    m_retry_timer = m_loop.after(delay, [this] {
+    m_loop.cancel(m_delay_timer);
+    m_delay_timer = m_loop.after(delay, [this] {
         if (m_is_complete) {
             watch();
         } else {
--- a/src/proxy/store_reader.hpp
+++ b/src/proxy/store_reader.hpp
@@ -83,12 +83,12 @@
     void skip_to(std::uint64_t revision);
 
 private:
-    void wait_or_watch();
+    void idle_or_watch();
     void read_page(std::string const& after_key);
     model::milliseconds next_wait() const;
     void watch();
     void send_request(std::string const& target,
-                      model::milliseconds limit,
+                      model::milliseconds first_byte_timeout,
                       std::function<void(int, std::string const&)> on_answer);
     void handle_page(int status, std::string const& body);
     void handle_changes(int status, std::string const& body);
@@ -106,7 +106,7 @@
     std::function<model::time_point()> m_boot_now;
 
     http_get m_get;
-    runtime::timer_handle m_retry_timer;
+    runtime::timer_handle m_delay_timer;
     model::time_point m_sent_at{};
     model::time_point m_confirmed{};
     std::uint64_t m_revision = 0;
--- a/src/proxy/tcp_stream_close.cpp
+++ b/src/proxy/tcp_stream_close.cpp
@@ -34,7 +34,7 @@
     }
     m_finishing = true;
     m_on_finished = std::move(on_finished);
-    // No hook is called from here on, so the owner may be destroyed.
+    // The hooks are not called from here on, so the owner may be destroyed.
     m_hooks = {};
     enable_reading(true);
     if (unsent_bytes() == 0) {
