--- a/tools/soak/engine.py
+++ b/tools/soak/engine.py
@@ -29,7 +29,7 @@
         self.engine = engine
         self.service = service
         self.team = key_team
-        self.began = time.monotonic()
+        self.started = time.monotonic()
         self.ended = None
         # The upstream closed the connection before the answer was complete.
         self.upstream_aborted = False
