--- a/src/net/answer_assembler.cpp
+++ b/src/net/answer_assembler.cpp
@@ -11,19 +11,19 @@
 using json = nlohmann::json;
 
 // Texts that are told once, not piece by piece.
-constexpr std::array<std::string_view, 8> whole_texts{"id",
-                                                      "object",
-                                                      "model",
-                                                      "role",
-                                                      "type",
-                                                      "name",
-                                                      "finish_reason",
-                                                      "system_fingerprint"};
-
-bool is_whole_text(std::string_view field)
+constexpr std::array<std::string_view, 8> unsplit_fields{"id",
+                                                         "object",
+                                                         "model",
+                                                         "role",
+                                                         "type",
+                                                         "name",
+                                                         "finish_reason",
+                                                         "system_fingerprint"};
+
+bool is_unsplit_field(std::string_view field)
 {
-    return std::find(whole_texts.begin(), whole_texts.end(), field)
-           != whole_texts.end();
+    return std::find(unsplit_fields.begin(), unsplit_fields.end(), field)
+           != unsplit_fields.end();
 }
 
 bool is_indexed(json const& value)
@@ -38,17 +38,17 @@
 void merge_arrays(json& into, json const& from)
 {
     for (json const& item : from) {
-        json* same = nullptr;
+        json* match = nullptr;
         for (json& known : into) {
             if (is_indexed(item) && is_indexed(known)
                 && known["index"] == item["index"]) {
-                same = &known;
+                match = &known;
             }
         }
-        if (same == nullptr) {
+        if (match == nullptr) {
             into.push_back(item);
         } else {
-            merge(*same, item);
+            merge(*match, item);
         }
     }
 }
@@ -69,7 +69,7 @@
     } else if (value.is_array() && known->is_array()) {
         merge_arrays(*known, value);
     } else if (value.is_string() && known->is_string()
-               && !is_whole_text(field)) {
+               && !is_unsplit_field(field)) {
         *known = known->get<std::string>() + value.get<std::string>();
     } else {
         *known = value;
--- a/src/net/caller_reply.cpp
+++ b/src/net/caller_reply.cpp
@@ -46,7 +46,7 @@
     return fmt::format("{:016x}", id.value);
 }
 
-std::string error_body(error_reply const& error, reply_metadata const& facts)
+std::string error_body(error_reply const& error, reply_metadata const& metadata)
 {
     nlohmann::json const body{
         {"error",
@@ -54,8 +54,8 @@
           {"type", model::to_string(error.kind)},
           {"code", model::to_string(error.kind)},
           {"remedy", error.remedy},
-          {"request_id", to_string(facts.id)},
-          {"outcome", model::to_string(facts.outcome)}}}};
+          {"request_id", to_string(metadata.id)},
+          {"outcome", model::to_string(metadata.outcome)}}}};
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
@@ -69,7 +69,7 @@
     return events;
 }
 
-std::string whole_seconds(model::milliseconds time)
+std::string round_up_to_seconds(model::milliseconds time)
 {
     return std::to_string((time.count() + 999) / 1000);
 }
--- a/src/net/caller_reply.hpp
+++ b/src/net/caller_reply.hpp
@@ -34,14 +34,15 @@
 std::string to_string(model::request_id id);
 
 /// The JSON body of an error, in the shape that OpenAI clients read.
-std::string error_body(error_reply const& error, reply_metadata const& facts);
+std::string error_body(error_reply const& error,
+                       reply_metadata const& metadata);
 
 /// The last events of an answer: its outcome as a comment, which clients
 /// skip, and for a whole answer the closing `[DONE]`.
 std::string closing_events(model::outcome outcome);
 
 /// Rounded up: a caller that comes a moment early is refused again.
-std::string whole_seconds(model::milliseconds time);
+std::string round_up_to_seconds(model::milliseconds time);
 
 } // namespace caperjunction::net
 
--- a/src/net/caller_request.cpp
+++ b/src/net/caller_request.cpp
@@ -76,11 +76,11 @@
 
 std::uint32_t read_output_bound(json const& body, std::uint32_t class_bound)
 {
-    std::uint32_t wished = read_bound(body, "max_completion_tokens");
-    if (wished == 0) {
-        wished = read_bound(body, "max_tokens");
+    std::uint32_t requested = read_bound(body, "max_completion_tokens");
+    if (requested == 0) {
+        requested = read_bound(body, "max_tokens");
     }
-    return wished == 0 ? class_bound : std::min(wished, class_bound);
+    return requested == 0 ? class_bound : std::min(requested, class_bound);
 }
 
 void append_content(std::string& text, json const& content)
@@ -136,8 +136,8 @@
 
 std::string make_upstream_body(json body, caller_request const& request)
 {
-    bool const newer = body.contains("max_completion_tokens");
-    body[newer ? "max_completion_tokens" : "max_tokens"] =
+    bool const uses_new_name = body.contains("max_completion_tokens");
+    body[uses_new_name ? "max_completion_tokens" : "max_tokens"] =
         request.max_output_tokens;
     if (!request.stream) {
         body["stream"] = true;
--- a/src/net/caller_server.cpp
+++ b/src/net/caller_server.cpp
@@ -19,7 +19,7 @@
 
 // libevent answers a longer body by itself, with a page instead of JSON;
 // twice the limit lets this code answer whatever is a little too long.
-constexpr std::size_t body_slack = 2;
+constexpr std::size_t body_limit_factor = 2;
 constexpr int allowed_methods = EVHTTP_REQ_GET | EVHTTP_REQ_POST
                                 | EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE
                                 | EVHTTP_REQ_PATCH;
@@ -42,7 +42,7 @@
     evhttp_set_max_headers_size(m_server, model::limits::max_header_bytes);
     evhttp_set_max_body_size(
         m_server,
-        static_cast<ev_ssize_t>(m_settings.max_body_bytes * body_slack));
+        static_cast<ev_ssize_t>(m_settings.max_body_bytes * body_limit_factor));
     evhttp_set_allowed_methods(m_server, allowed_methods);
     timeval const limit = to_timeval(m_settings.caller_timeout);
     evhttp_set_timeout_tv(m_server, &limit);
@@ -88,7 +88,7 @@
 void caller_server::handle(evhttp_request* caller)
 {
     model::request_id const id = next_id();
-    send_at_once(evhttp_request_get_connection(caller));
+    set_no_delay(evhttp_request_get_connection(caller));
     try {
         serve(caller, id);
     } catch (model::error const& failure) {
@@ -113,13 +113,13 @@
         return;
     }
     std::string const path = path_of(caller);
-    lists::identity const who = authenticate(caller);
+    lists::identity const identity = authenticate(caller);
     if (path == paths::chat || path == paths::completion) {
-        serve_text(caller, id, who, path == paths::chat);
+        serve_text(caller, id, identity, path == paths::chat);
     } else if (path == paths::models) {
-        serve_models(caller, id, who);
+        serve_models(caller, id, identity);
     } else if (path.rfind(paths::services, 0) == 0) {
-        serve_service(caller, id, who);
+        serve_service(caller, id, identity);
     } else {
         throw model::error(
             model::error_kind::not_found,
@@ -129,12 +129,12 @@
     }
 }
 
-void caller_server::pass_on(evhttp_request* caller,
-                            std::unique_ptr<exchange> made)
+void caller_server::submit(evhttp_request* caller,
+                           std::unique_ptr<exchange> created)
 {
-    model::request_id const id = made->request.id;
-    if (m_hooks.arrived(std::move(made))) {
-        watch_for_hang_up(caller, id);
+    model::request_id const id = created->request.id;
+    if (m_hooks.arrived(std::move(created))) {
+        watch_for_disconnect(caller, id);
         return;
     }
     throw model::error(model::error_kind::unavailable,
@@ -145,8 +145,8 @@
 // libevent stops reading while an answer is due, and so misses that a caller
 // hangs up before its answer begins; the engine would go on with work that
 // nobody wants. Reading on makes the close callback fire.
-void caller_server::watch_for_hang_up(evhttp_request* caller,
-                                      model::request_id id)
+void caller_server::watch_for_disconnect(evhttp_request* caller,
+                                         model::request_id id)
 {
     evhttp_connection* const connection = evhttp_request_get_connection(caller);
     bufferevent* const stream = evhttp_connection_get_bufferevent(connection);
@@ -154,21 +154,21 @@
     // A caller that waits for its answer is silent by rights.
     bufferevent_set_timeouts(stream, nullptr, &limit);
     begin_read_ahead(stream);
-    watch& made = m_watches[connection];
-    made = {this, id, caller};
+    connection_watch& created = m_watches[connection];
+    created = {this, id, caller};
     evhttp_connection_set_closecb(
         connection,
         [](evhttp_connection* closed, void* arg) {
-            watch const seen = *static_cast<watch*>(arg);
+            connection_watch const seen = *static_cast<connection_watch*>(arg);
             seen.owner->m_watches.erase(closed);
-            seen.owner->m_hooks.hung_up(seen.id);
+            seen.owner->m_hooks.disconnected(seen.id);
             // evhttp has cut an unanswered request loose and left it to its
             // handler; kept, each hang-up would cost its whole body for good.
             if (evhttp_request_get_connection(seen.caller) == nullptr) {
                 evhttp_request_free(seen.caller);
             }
         },
-        &made);
+        &created);
 }
 
 void caller_server::release(evhttp_request* caller)
--- a/src/net/caller_server.hpp
+++ b/src/net/caller_server.hpp
@@ -24,7 +24,7 @@
     /// takes no more now, and the front refuses it.
     std::function<bool(std::unique_ptr<exchange>)> arrived;
     /// The caller of this request hung up; its `caller` is gone.
-    std::function<void(model::request_id)> hung_up;
+    std::function<void(model::request_id)> disconnected;
 };
 
 /// Serves callers: reads requests, checks key, plan and limits, and answers
@@ -61,7 +61,7 @@
 
 private:
     /// What the close callback of a connection needs.
-    struct watch
+    struct connection_watch
     {
         caller_server* owner = nullptr;
         model::request_id id;
@@ -72,20 +72,20 @@
     void serve(evhttp_request* caller, model::request_id id);
     void serve_text(evhttp_request* caller,
                     model::request_id id,
-                    lists::identity const& who,
+                    lists::identity const& identity,
                     bool chat);
     void serve_service(evhttp_request* caller,
                        model::request_id id,
-                       lists::identity const& who);
+                       lists::identity const& identity);
     void serve_models(evhttp_request* caller,
                       model::request_id id,
-                      lists::identity const& who);
+                      lists::identity const& identity);
     lists::identity authenticate(evhttp_request* caller) const;
     std::unique_ptr<exchange> make_exchange(evhttp_request* caller,
                                             model::request_id id,
-                                            lists::identity const& who);
-    void pass_on(evhttp_request* caller, std::unique_ptr<exchange> made);
-    void watch_for_hang_up(evhttp_request* caller, model::request_id id);
+                                            lists::identity const& identity);
+    void submit(evhttp_request* caller, std::unique_ptr<exchange> created);
+    void watch_for_disconnect(evhttp_request* caller, model::request_id id);
     model::request_id next_id();
 
     runtime::event_loop& m_loop;
@@ -97,7 +97,7 @@
     std::uint16_t m_port = 0;
     std::uint32_t m_last_id = 0;
     // Of connections whose request is being served.
-    std::unordered_map<evhttp_connection*, watch> m_watches;
+    std::unordered_map<evhttp_connection*, connection_watch> m_watches;
 };
 
 } // namespace caperjunction::net
--- a/src/net/caller_sink.cpp
+++ b/src/net/caller_sink.cpp
@@ -6,14 +6,14 @@
 
 void send_error(caller_sink const& sink,
                 error_reply const& error,
-                reply_metadata const& facts)
+                reply_metadata const& metadata)
 {
-    std::string const body = error_body(error, facts);
-    sink.whole({status_of(error.kind),
-                "application/json",
-                body,
-                facts,
-                error.retry_after});
+    std::string const body = error_body(error, metadata);
+    sink.complete({status_of(error.kind),
+                   "application/json",
+                   body,
+                   metadata,
+                   error.retry_after});
 }
 
 } // namespace caperjunction::net
--- a/src/net/caller_sink.hpp
+++ b/src/net/caller_sink.hpp
@@ -17,7 +17,7 @@
     int status = 200;
     std::string_view content_type;
     std::string_view body;
-    reply_metadata facts;
+    reply_metadata metadata;
     /// Sent as `Retry-After` if above zero.
     model::milliseconds retry_after{0};
 };
@@ -29,18 +29,18 @@
 /// Thread safety: none; called by the task that owns the exchange.
 struct caller_sink
 {
-    std::function<void(complete_answer const&)> whole;
+    std::function<void(complete_answer const&)> complete;
     std::function<void(model::request_id)> begin;
     std::function<void(std::string_view)> events;
     std::function<void(model::outcome)> end;
     /// Bytes that wait for a slow receiver.
-    std::function<std::size_t()> unsent;
+    std::function<std::size_t()> unsent_bytes;
 };
 
 /// Answers with an error in JSON. \pre Nothing of the answer has been sent.
 void send_error(caller_sink const& sink,
                 error_reply const& error,
-                reply_metadata const& facts);
+                reply_metadata const& metadata);
 
 } // namespace caperjunction::net
 
--- a/src/net/engine_reader.cpp
+++ b/src/net/engine_reader.cpp
@@ -22,7 +22,7 @@
     return timeouts;
 }
 
-std::uint32_t count_in(json const& from, char const* field)
+std::uint32_t read_count(json const& from, char const* field)
 {
     auto const found = from.find(field);
     return found != from.end() && found->is_number_unsigned()
@@ -31,7 +31,7 @@
 }
 
 /// One call, while its answer comes in.
-struct reading
+struct pending_answer
 {
     int status = 0;
     std::string body;
@@ -43,7 +43,7 @@
     : m_loop(loop)
     , m_client(loop, reader_timeouts())
     , m_timer(loop.every(call_period, [this] {
-        ask_next();
+        request_next();
     }))
 {
 }
@@ -57,8 +57,9 @@
 {
     std::vector<known_engine> known;
     for (model::engine const& engine : engines) {
-        known_engine const* const before = find(engine.name);
-        std::uint64_t const sequence = before == nullptr ? 0 : before->sequence;
+        known_engine const* const previous = find(engine.name);
+        std::uint64_t const sequence =
+            previous == nullptr ? 0 : previous->sequence;
         known.push_back({engine.name, engine.address, sequence, false});
     }
     m_engines = std::move(known);
@@ -75,7 +76,7 @@
     return nullptr;
 }
 
-void engine_reader::ask_next()
+void engine_reader::request_next()
 {
     if (m_engines.empty()) {
         return;
@@ -83,22 +84,24 @@
     known_engine& engine = m_engines[m_next % m_engines.size()];
     if (m_cache_next) {
         ++m_next;
-        ask(engine,
-            fmt::format("/v1/cache_events?after={}", engine.sequence),
-            &engine_reader::take_cache);
+        start_request(engine,
+                      fmt::format("/v1/cache_events?after={}", engine.sequence),
+                      &engine_reader::handle_cache_events);
     } else {
-        ask(engine, "/v1/load", &engine_reader::take_load);
+        start_request(engine, "/v1/load", &engine_reader::handle_load);
     }
     m_cache_next = !m_cache_next;
 }
 
-void engine_reader::ask(known_engine& engine, std::string path, taker take)
+void engine_reader::start_request(known_engine& engine,
+                                  std::string path,
+                                  body_handler handler)
 {
     upstream_call call;
     call.to = engine.address;
     call.method = "GET";
     call.path = std::move(path);
-    auto const state = std::make_shared<reading>();
+    auto const state = std::make_shared<pending_answer>();
     call_hooks hooks;
     hooks.head = [state](call_head const& head) {
         state->status = head.status;
@@ -108,15 +111,16 @@
             state->body.append(bytes);
         }
     };
-    hooks.done = [this, state, take, name = engine.name](call_end end) {
+    hooks.done = [this, state, handler, name = engine.name](call_end end) {
         if (end == call_end::complete && state->status == status_ok) {
-            (this->*take)(name, state->body);
+            (this->*handler)(name, state->body);
         }
     };
     m_client.start(call, std::move(hooks));
 }
 
-void engine_reader::take_load(std::string const& name, std::string const& body)
+void engine_reader::handle_load(std::string const& name,
+                                std::string const& body)
 {
     json const load = json::parse(body, nullptr, false);
     if (!load.is_object()) {
@@ -125,9 +129,9 @@
     decide::engine_report report;
     report.engine = name;
     report.measured_at =
-        m_loop.now() - model::milliseconds{count_in(load, "taken_ms_ago")};
-    report.running = count_in(load, "running");
-    report.waiting = count_in(load, "waiting");
+        m_loop.now() - model::milliseconds{read_count(load, "taken_ms_ago")};
+    report.running = read_count(load, "running");
+    report.waiting = read_count(load, "waiting");
     if (load.contains("kv_used") && load["kv_used"].is_number()) {
         report.kv_used = load["kv_used"].get<double>();
     }
@@ -143,7 +147,8 @@
 
 // Each event becomes a message of its own, so that a gap in the sequence is
 // seen where it is.
-void engine_reader::take_cache(std::string const& name, std::string const& body)
+void engine_reader::handle_cache_events(std::string const& name,
+                                        std::string const& body)
 {
     json const answer = json::parse(body, nullptr, false);
     known_engine* const engine = find(name);
--- a/src/net/engine_reader.hpp
+++ b/src/net/engine_reader.hpp
@@ -43,16 +43,17 @@
         std::string name;
         model::endpoint address;
         std::uint64_t sequence = 0;
-        bool asked = false;
+        bool requested = false;
     };
 
-    using taker = void (engine_reader::*)(std::string const& name,
-                                          std::string const& body);
+    using body_handler = void (engine_reader::*)(std::string const& name,
+                                                 std::string const& body);
 
-    void ask_next();
-    void ask(known_engine& engine, std::string path, taker take);
-    void take_load(std::string const& name, std::string const& body);
-    void take_cache(std::string const& name, std::string const& body);
+    void request_next();
+    void
+    start_request(known_engine& engine, std::string path, body_handler handler);
+    void handle_load(std::string const& name, std::string const& body);
+    void handle_cache_events(std::string const& name, std::string const& body);
     known_engine* find(std::string const& name);
 
     runtime::event_loop& m_loop;
--- a/src/net/exchange.hpp
+++ b/src/net/exchange.hpp
@@ -39,7 +39,7 @@
     /// The host that serves it instead of this one; else empty.
     std::string to_host;
     /// Some of the answer has been sent; no status can be chosen any more.
-    bool begun = false;
+    bool answer_started = false;
 
     std::string method = "POST";
     std::string path;
@@ -53,7 +53,7 @@
     int status = 0;
     bool upstream_not_run = false;
     bool done_seen = false;
-    std::string answer_type;
+    std::string answer_content_type;
     sse_scanner scanner;
 
     // Over all attempts.
@@ -61,10 +61,10 @@
     std::string collected;
     std::uint32_t relayed_tokens = 0;
     /// Relayed, but not yet told to the decision logic.
-    std::uint32_t untold_tokens = 0;
-    bool first_told = false;
+    std::uint32_t unreported_tokens = 0;
+    bool first_token_reported = false;
     /// When the first byte went to the caller.
-    model::time_point first_byte{};
+    model::time_point first_byte_at{};
 };
 
 } // namespace caperjunction::net
--- a/src/net/hand_over.cpp
+++ b/src/net/hand_over.cpp
@@ -44,9 +44,9 @@
     return "collected";
 }
 
-void fill_text(decide::request& request,
-               std::string const& path,
-               std::string const& body)
+void set_text_fields(decide::request& request,
+                     std::string const& path,
+                     std::string const& body)
 {
     bool const chat = path.find("chat") != std::string::npos;
     caller_request parsed = parse_caller_request(
@@ -60,15 +60,15 @@
 
 } // namespace
 
-fleet::hand_over_request pack(exchange const& held, model::time_point now)
+fleet::hand_over_request pack(exchange const& active, model::time_point now)
 {
     using std::chrono::duration_cast;
-    decide::request const& request = held.request;
+    decide::request const& request = active.request;
     fleet::hand_over_request packed;
     packed.id = request.id;
-    packed.method = held.method;
-    packed.path = held.path;
-    packed.body = held.body;
+    packed.method = active.method;
+    packed.path = active.path;
+    packed.body = active.body;
     packed.waited = duration_cast<model::milliseconds>(now - request.arrived);
     packed.headers = {
         {"customer", request.customer},
@@ -77,8 +77,8 @@
         {"class", request.service_class},
         {"model", request.model},
         {"service", request.service},
-        {"mode", name_of(held.mode)},
-        {"content-type", held.content_type},
+        {"mode", name_of(active.mode)},
+        {"content-type", active.content_type},
         {"fingerprint", fmt::format("{:016x}", request.fingerprint)}};
     return packed;
 }
@@ -86,8 +86,8 @@
 std::unique_ptr<exchange> unpack(fleet::hand_over_request const& packed,
                                  model::time_point now)
 {
-    auto made = std::make_unique<exchange>();
-    decide::request& request = made->request;
+    auto created = std::make_unique<exchange>();
+    decide::request& request = created->request;
     request.id = packed.id;
     request.customer = field_of(packed, "customer");
     request.team = field_of(packed, "team");
@@ -97,23 +97,23 @@
     request.service = field_of(packed, "service");
     request.arrived = now - packed.waited;
     request.handed_over = true;
-    made->mode = mode_of(packed);
-    made->method = packed.method;
-    made->path = packed.path;
-    made->body = packed.body;
-    made->content_type = field_of(packed, "content-type");
-    bool const sound = absl::SimpleHexAtoi(field_of(packed, "fingerprint"),
-                                           &request.fingerprint)
-                       && request.model.empty() != request.service.empty();
-    if (!sound) {
+    created->mode = mode_of(packed);
+    created->method = packed.method;
+    created->path = packed.path;
+    created->body = packed.body;
+    created->content_type = field_of(packed, "content-type");
+    bool const is_valid = absl::SimpleHexAtoi(field_of(packed, "fingerprint"),
+                                              &request.fingerprint)
+                          && request.model.empty() != request.service.empty();
+    if (!is_valid) {
         throw model::error(model::error_kind::bad_request,
                            "a handed-over request lacks its fields",
                            "run the same version on all hosts");
     }
     if (!request.model.empty()) {
-        fill_text(request, made->path, made->body);
+        set_text_fields(request, created->path, created->body);
     }
-    return made;
+    return created;
 }
 
 } // namespace caperjunction::net
--- a/src/net/hand_over.hpp
+++ b/src/net/hand_over.hpp
@@ -11,7 +11,7 @@
 
 /// The request of an exchange for another host. Who the caller is has been
 /// checked here; its key stays here.
-fleet::hand_over_request pack(exchange const& held, model::time_point now);
+fleet::hand_over_request pack(exchange const& active, model::time_point now);
 
 /// An exchange for a request that another host handed over.
 ///
--- a/src/net/http_input.cpp
+++ b/src/net/http_input.cpp
@@ -31,26 +31,26 @@
 }};
 
 lists::service_call const* find_call(lists::service_entry const& service,
-                                     exchange const& made)
+                                     exchange const& created)
 {
     for (lists::service_call const& call : service.calls) {
-        if (call.method == made.method
-            && made.path.rfind(call.path_prefix, 0) == 0) {
+        if (call.method == created.method
+            && created.path.rfind(call.path_prefix, 0) == 0) {
             return &call;
         }
     }
     return nullptr;
 }
 
-void check_key(exchange const& made)
+void check_key(exchange const& created)
 {
-    if (made.idempotency_key.empty()) {
+    if (created.idempotency_key.empty()) {
         throw model::error(
             model::error_kind::bad_request,
             "this call may run only once and carries no Idempotency-Key",
             "send an Idempotency-Key header, the same one on every resend");
     }
-    if (made.idempotency_key.size()
+    if (created.idempotency_key.size()
         > model::limits::max_idempotency_key_length) {
         throw model::error(model::error_kind::bad_request,
                            "the Idempotency-Key is too long",
@@ -138,10 +138,10 @@
 }
 
 void check_service_call(lists::catalogue const& catalogue,
-                        lists::identity const& who,
-                        exchange& made)
+                        lists::identity const& identity,
+                        exchange& created)
 {
-    std::string const& name = made.request.service;
+    std::string const& name = created.request.service;
     lists::service_entry const* const service = catalogue.find_service(name);
     if (service == nullptr) {
         throw model::error(
@@ -149,7 +149,7 @@
             "there is no service of this name",
             "ask your operator which services the plan includes");
     }
-    auto const* const allowed = who.entitlement;
+    auto const* const allowed = identity.entitlement;
     if (allowed == nullptr
         || std::find(allowed->services.begin(), allowed->services.end(), name)
                == allowed->services.end()) {
@@ -157,17 +157,17 @@
                            "the plan does not include this service",
                            "ask your operator for another plan");
     }
-    lists::service_call const* const call = find_call(*service, made);
+    lists::service_call const* const call = find_call(*service, created);
     // A call that the list doesn't name might book something: the caller is
     // asked for a key rather than the booking risked twice.
-    made.request.repeatable = call != nullptr && call->repeatable;
-    if (!made.request.repeatable) {
-        check_key(made);
+    created.request.repeatable = call != nullptr && call->repeatable;
+    if (!created.request.repeatable) {
+        check_key(created);
     }
-    made.request.fingerprint =
-        XXH3_64bits_withSeed(made.body.data(),
-                             made.body.size(),
-                             XXH3_64bits(made.path.data(), made.path.size()));
+    created.request.fingerprint = XXH3_64bits_withSeed(
+        created.body.data(),
+        created.body.size(),
+        XXH3_64bits(created.path.data(), created.path.size()));
 }
 
 } // namespace caperjunction::net
--- a/src/net/http_input.hpp
+++ b/src/net/http_input.hpp
@@ -46,8 +46,8 @@
 ///
 /// \throws model::error (not_found, not_entitled, bad_request).
 void check_service_call(lists::catalogue const& catalogue,
-                        lists::identity const& who,
-                        exchange& made);
+                        lists::identity const& identity,
+                        exchange& created);
 
 } // namespace caperjunction::net
 
--- a/src/net/http_sink.cpp
+++ b/src/net/http_sink.cpp
@@ -21,15 +21,17 @@
         evhttp_request_get_output_headers(caller), name, value.c_str());
 }
 
-void send_whole(evhttp_request* caller, complete_answer const& answer)
+void send_complete(evhttp_request* caller, complete_answer const& answer)
 {
-    add_header(caller, "caperjunction-request-id", to_string(answer.facts.id));
+    add_header(
+        caller, "caperjunction-request-id", to_string(answer.metadata.id));
     add_header(caller,
                "caperjunction-outcome",
-               std::string(model::to_string(answer.facts.outcome)));
+               std::string(model::to_string(answer.metadata.outcome)));
     add_header(caller, "Content-Type", std::string(answer.content_type));
     if (answer.retry_after.count() > 0) {
-        add_header(caller, "Retry-After", whole_seconds(answer.retry_after));
+        add_header(
+            caller, "Retry-After", round_up_to_seconds(answer.retry_after));
     }
     evbuffer* const out = evhttp_request_get_output_buffer(caller);
     evbuffer_add(out, answer.body.data(), answer.body.size());
@@ -49,7 +51,7 @@
     evbuffer* const chunk = evbuffer_new();
     evbuffer_add(chunk, events.data(), events.size());
     evhttp_send_reply_chunk(caller, chunk);
-    write_now(caller);
+    flush_output(caller);
     evbuffer_free(chunk);
 }
 
@@ -59,9 +61,9 @@
                            std::function<void()> const& before_end)
 {
     caller_sink sink;
-    sink.whole = [caller, before_end](complete_answer const& answer) {
+    sink.complete = [caller, before_end](complete_answer const& answer) {
         before_end();
-        send_whole(caller, answer);
+        send_complete(caller, answer);
     };
     sink.begin = [caller](model::request_id id) {
         begin_events(caller, id);
@@ -73,7 +75,7 @@
         before_end();
         evhttp_send_reply_end(caller);
     };
-    sink.unsent = [caller] {
+    sink.unsent_bytes = [caller] {
         return unsent_bytes(caller);
     };
     return sink;
--- a/src/net/peer_acceptor.cpp
+++ b/src/net/peer_acceptor.cpp
@@ -16,16 +16,16 @@
 
 sockaddr_storage parse_address(model::endpoint const& endpoint, int& size)
 {
-    bool const numeric_6 = endpoint.address.find(':') != std::string::npos;
+    bool const is_ipv6 = endpoint.address.find(':') != std::string::npos;
     std::string const host =
-        numeric_6 ? '[' + endpoint.address + ']' : endpoint.address;
+        is_ipv6 ? '[' + endpoint.address + ']' : endpoint.address;
     std::string const text = host + ':' + std::to_string(endpoint.port);
     sockaddr_storage address{};
     size = sizeof address;
-    auto* const plain = reinterpret_cast<sockaddr*>(&address);
+    auto* const raw = reinterpret_cast<sockaddr*>(&address);
     // Port 0 is no port to the parser; it is set afterwards.
     std::string const parsed = endpoint.port == 0 ? host : text;
-    if (evutil_parse_sockaddr_port(parsed.c_str(), plain, &size) != 0) {
+    if (evutil_parse_sockaddr_port(parsed.c_str(), raw, &size) != 0) {
         throw model::error(model::error_kind::bad_settings,
                            "'" + text + "' is no address to listen on",
                            "give a numeric address for peers");
@@ -76,8 +76,8 @@
 {
     sockaddr_storage address{};
     socklen_t size = sizeof address;
-    auto* const plain = reinterpret_cast<sockaddr*>(&address);
-    getsockname(evconnlistener_get_fd(m_listener), plain, &size);
+    auto* const raw = reinterpret_cast<sockaddr*>(&address);
+    getsockname(evconnlistener_get_fd(m_listener), raw, &size);
     if (address.ss_family == AF_INET6) {
         return ntohs(reinterpret_cast<sockaddr_in6*>(&address)->sin6_port);
     }
@@ -100,14 +100,14 @@
     }
     std::uint64_t const number = ++m_last;
     accepted& added = m_accepted[number];
-    added.opened = m_loop.now();
-    added.heard = m_loop.now();
+    added.opened_at = m_loop.now();
+    added.received_at = m_loop.now();
     added.connection = std::make_shared<peer_connection>(
         bufferevent_socket_new(m_loop.base(), socket, BEV_OPT_CLOSE_ON_FREE),
         m_counters);
     peer_connection::callbacks calls;
     calls.frame = [this, number](peer_frame const& frame) {
-        take(number, frame);
+        handle(number, frame);
     };
     calls.ended = [this, number](model::error const* error) {
         std::string const host = m_accepted.at(number).handshake.dialer;
@@ -122,24 +122,24 @@
         encode(peer_challenge{added.handshake.challenge_nonce}));
 }
 
-void peer_acceptor::take(std::uint64_t number, peer_frame const& frame)
+void peer_acceptor::handle(std::uint64_t number, peer_frame const& frame)
 {
     accepted& from = m_accepted.at(number);
-    from.heard = m_loop.now();
+    from.received_at = m_loop.now();
     if (auto const* hello = std::get_if<peer_hello>(&frame)) {
-        take_hello(number, *hello);
-    } else if (!from.proven) {
+        handle_hello(number, *hello);
+    } else if (!from.authenticated) {
         refuse(number, "", "spoke before it proved itself", "look who it is");
     } else if (auto const* ping = std::get_if<peer_ping>(&frame)) {
         from.connection->send(encode(peer_pong{ping->number}));
-    } else if (auto const* told = std::get_if<fleet::peer_message>(&frame)) {
+    } else if (auto const* message = std::get_if<fleet::peer_message>(&frame)) {
         // A copy: the receiver may unlist the peer, and drop it.
         std::string const host = from.handshake.dialer;
-        m_calls.received(host, *told);
+        m_calls.received(host, *message);
     }
 }
 
-void peer_acceptor::take_hello(std::uint64_t number, peer_hello const& hello)
+void peer_acceptor::handle_hello(std::uint64_t number, peer_hello const& hello)
 {
     accepted& from = m_accepted.at(number);
     from.handshake.hello_nonce = hello.nonce;
@@ -147,7 +147,7 @@
     from.handshake.acceptor = m_settings.host;
     auto const expected =
         make_proof(m_settings.secret, proof_side::dialer, from.handshake);
-    if (from.proven || !equal_proofs(hello.proof, expected)) {
+    if (from.authenticated || !equal_proofs(hello.proof, expected)) {
         refuse(number,
                hello.host,
                "does not know the secret",
@@ -161,15 +161,15 @@
                "wait until the platform lists it");
         return;
     }
-    from.proven = true;
-    from.connection->set_max_frame(m_settings.max_frame_bytes);
+    from.authenticated = true;
+    from.connection->set_max_frame_bytes(m_settings.max_frame_bytes);
     from.connection->send(encode(peer_welcome{
         make_proof(m_settings.secret, proof_side::acceptor, from.handshake)}));
 }
 
 void peer_acceptor::refuse(std::uint64_t number,
                            std::string const& host,
-                           char const* why,
+                           char const* reason,
                            char const* remedy)
 {
     ++m_counters.refused_handshakes;
@@ -177,23 +177,23 @@
     m_calls.failed(
         host,
         model::error(model::error_kind::unauthenticated,
-                     "a caller on the peer port, '" + host + "', " + why,
+                     "a caller on the peer port, '" + host + "', " + reason,
                      remedy));
 }
 
 void peer_acceptor::drop(std::uint64_t number)
 {
-    auto const place = m_accepted.find(number);
-    place->second.connection->close();
-    m_accepted.erase(place);
+    auto const entry = m_accepted.find(number);
+    entry->second.connection->close();
+    m_accepted.erase(entry);
 }
 
 void peer_acceptor::drop_unlisted()
 {
-    for (auto place = m_accepted.begin(); place != m_accepted.end();) {
-        auto const current = place++;
+    for (auto entry = m_accepted.begin(); entry != m_accepted.end();) {
+        auto const current = entry++;
         accepted const& each = current->second;
-        if (each.proven && !m_calls.is_listed(each.handshake.dialer)) {
+        if (each.authenticated && !m_calls.is_listed(each.handshake.dialer)) {
             drop(current->first);
         }
     }
@@ -202,14 +202,15 @@
 void peer_acceptor::tick()
 {
     auto const now = m_loop.now();
-    for (auto place = m_accepted.begin(); place != m_accepted.end();) {
-        auto const current = place++;
+    for (auto entry = m_accepted.begin(); entry != m_accepted.end();) {
+        auto const current = entry++;
         accepted const& each = current->second;
-        bool const late =
-            !each.proven && now - each.opened >= m_settings.connect_timeout;
+        bool const late = !each.authenticated
+                          && now - each.opened_at >= m_settings.connect_timeout;
         // The caller pings, and notices silence first; this only frees what
         // a caller left behind that is gone.
-        bool const silent = now - each.heard >= 2 * m_settings.silence_limit;
+        bool const silent =
+            now - each.received_at >= 2 * m_settings.silence_limit;
         if (late || silent) {
             drop(current->first);
         }
--- a/src/net/peer_acceptor.hpp
+++ b/src/net/peer_acceptor.hpp
@@ -57,19 +57,19 @@
     {
         std::shared_ptr<peer_connection> connection;
         peer_handshake handshake;
-        bool proven = false;
-        model::time_point opened{};
-        model::time_point heard{};
+        bool authenticated = false;
+        model::time_point opened_at{};
+        model::time_point received_at{};
     };
 
     static void
     handle_accept(evconnlistener*, int socket, sockaddr*, int, void* self);
     void accept(int socket);
-    void take(std::uint64_t number, peer_frame const& frame);
-    void take_hello(std::uint64_t number, peer_hello const& hello);
+    void handle(std::uint64_t number, peer_frame const& frame);
+    void handle_hello(std::uint64_t number, peer_hello const& hello);
     void refuse(std::uint64_t number,
                 std::string const& host,
-                char const* why,
+                char const* reason,
                 char const* remedy);
     void drop(std::uint64_t number);
 
--- a/src/net/peer_codec.cpp
+++ b/src/net/peer_codec.cpp
@@ -41,9 +41,9 @@
     std::string bytes;
     bytes.reserve(frame_prefix_bytes + builder.GetSize());
     std::uint32_t const size = builder.GetSize();
-    for (std::size_t place = 0; place < frame_prefix_bytes; ++place) {
+    for (std::size_t index = 0; index < frame_prefix_bytes; ++index) {
         constexpr unsigned byte_bits = 8;
-        bytes.push_back(static_cast<char>(size >> (byte_bits * place)));
+        bytes.push_back(static_cast<char>(size >> (byte_bits * index)));
     }
     bytes.append(reinterpret_cast<char const*>(builder.GetBufferPointer()),
                  size);
--- a/src/net/peer_connection.cpp
+++ b/src/net/peer_connection.cpp
@@ -16,20 +16,20 @@
 namespace {
 
 // A hello with the longest name and both proofs takes less than half of it.
-constexpr std::size_t max_unproven_frame = 1'024;
+constexpr std::size_t max_unauthenticated_frame_bytes = 1'024;
 
 std::size_t read_length(std::array<std::uint8_t, frame_prefix_bytes> prefix)
 {
     constexpr unsigned byte_bits = 8;
     std::size_t length = 0;
-    for (std::size_t place = prefix.size(); place > 0; --place) {
-        length = (length << byte_bits) | prefix[place - 1];
+    for (std::size_t index = prefix.size(); index > 0; --index) {
+        length = (length << byte_bits) | prefix[index - 1];
     }
     return length;
 }
 
 // Heartbeats and claims are small and must not wait for more to send.
-void send_at_once(evutil_socket_t socket)
+void set_no_delay(evutil_socket_t socket)
 {
     int const on = 1;
     setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -41,7 +41,7 @@
                                  peer_link_counters& counters)
     : m_socket(socket)
     , m_counters(counters)
-    , m_max_frame(max_unproven_frame)
+    , m_max_frame_bytes(max_unauthenticated_frame_bytes)
 {
 }
 
@@ -57,20 +57,20 @@
     bufferevent_setcb(m_socket, handle_read, nullptr, handle_event, this);
     bufferevent_enable(m_socket, EV_READ | EV_WRITE);
     if (bufferevent_getfd(m_socket) >= 0) {
-        send_at_once(bufferevent_getfd(m_socket));
+        set_no_delay(bufferevent_getfd(m_socket));
     }
 }
 
 bool peer_connection::connect(model::endpoint const& to)
 {
-    bool const numeric_6 = to.address.find(':') != std::string::npos;
-    std::string const host = numeric_6 ? '[' + to.address + ']' : to.address;
+    bool const is_ipv6 = to.address.find(':') != std::string::npos;
+    std::string const host = is_ipv6 ? '[' + to.address + ']' : to.address;
     std::string const text = host + ':' + std::to_string(to.port);
     sockaddr_storage address{};
     int size = sizeof address;
-    auto* const plain = reinterpret_cast<sockaddr*>(&address);
-    return evutil_parse_sockaddr_port(text.c_str(), plain, &size) == 0
-           && bufferevent_socket_connect(m_socket, plain, size) == 0;
+    auto* const raw = reinterpret_cast<sockaddr*>(&address);
+    return evutil_parse_sockaddr_port(text.c_str(), raw, &size) == 0
+           && bufferevent_socket_connect(m_socket, raw, size) == 0;
 }
 
 void peer_connection::close()
@@ -108,7 +108,7 @@
         return false;
     }
     std::size_t const length = read_length(prefix);
-    if (length > m_max_frame) {
+    if (length > m_max_frame_bytes) {
         ++m_counters.bad_frames;
         model::error const error(model::error_kind::too_large,
                                  "a peer sent a frame of "
@@ -141,7 +141,7 @@
 {
     auto const alive = static_cast<peer_connection*>(self)->shared_from_this();
     if ((what & BEV_EVENT_CONNECTED) != 0) {
-        send_at_once(bufferevent_getfd(alive->m_socket));
+        set_no_delay(bufferevent_getfd(alive->m_socket));
         if (alive->m_calls.connected) {
             alive->m_calls.connected();
         }
--- a/src/net/peer_connection.hpp
+++ b/src/net/peer_connection.hpp
@@ -51,9 +51,9 @@
 
     /// Before a peer has proven itself, only short frames are taken: it
     /// could fill the memory with frames that are never complete.
-    void set_max_frame(std::size_t bytes)
+    void set_max_frame_bytes(std::size_t bytes)
     {
-        m_max_frame = bytes;
+        m_max_frame_bytes = bytes;
     }
 
 private:
@@ -65,7 +65,7 @@
     bufferevent* m_socket;
     peer_link_counters& m_counters;
     callbacks m_calls;
-    std::size_t m_max_frame;
+    std::size_t m_max_frame_bytes;
     bool m_open = false;
 };
 
--- a/src/net/peer_dialer.cpp
+++ b/src/net/peer_dialer.cpp
@@ -22,15 +22,15 @@
 {
 }
 
-void peer_dialer::keep(bool wanted)
+void peer_dialer::set_persistent(bool persistent)
 {
-    m_wanted = wanted;
-    if (wanted && m_stage == stage::idle) {
+    m_is_persistent = persistent;
+    if (persistent && m_stage == stage::idle) {
         connect();
     }
 }
 
-void peer_dialer::move_to(model::endpoint const& address)
+void peer_dialer::set_address(model::endpoint const& address)
 {
     if (address == m_address) {
         return;
@@ -56,7 +56,7 @@
         ++m_counters.full_queues;
         return false;
     }
-    m_used = m_loop.now();
+    m_used_at = m_loop.now();
     if (m_stage == stage::ready) {
         m_connection->send(bytes);
         return true;
@@ -78,13 +78,13 @@
         m_counters);
     peer_connection::callbacks calls;
     calls.connected = [this] {
-        m_stage = stage::proving;
+        m_stage = stage::authenticating;
     };
     calls.frame = [this](peer_frame const& frame) {
-        take(frame);
+        handle(frame);
     };
     calls.ended = [this](model::error const* error) {
-        lose(error);
+        handle_loss(error);
     };
     m_connection->open(std::move(calls));
     if (!m_connection->connect(m_address)) {
@@ -92,23 +92,24 @@
                                  "'" + m_address.address
                                      + "' is no address to connect to",
                                  "publish a numeric address and a port");
-        lose(&error);
+        handle_loss(&error);
     }
 }
 
-void peer_dialer::take(peer_frame const& frame)
+void peer_dialer::handle(peer_frame const& frame)
 {
-    m_heard = m_loop.now();
+    m_received_at = m_loop.now();
     if (auto const* challenge = std::get_if<peer_challenge>(&frame)) {
-        take_challenge(*challenge);
+        handle_challenge(*challenge);
     } else if (auto const* welcome = std::get_if<peer_welcome>(&frame)) {
-        take_welcome(*welcome);
+        handle_welcome(*welcome);
     }
 }
 
-void peer_dialer::take_challenge(peer_challenge const& challenge)
+void peer_dialer::handle_challenge(peer_challenge const& challenge)
 {
-    if (m_stage != stage::proving || !m_handshake.challenge_nonce.empty()) {
+    if (m_stage != stage::authenticating
+        || !m_handshake.challenge_nonce.empty()) {
         return;
     }
     m_handshake.challenge_nonce = challenge.nonce;
@@ -125,24 +126,24 @@
 
 // Without this check, anyone who took over a peer's address could collect
 // what is handed over to it.
-void peer_dialer::take_welcome(peer_welcome const& welcome)
+void peer_dialer::handle_welcome(peer_welcome const& welcome)
 {
-    bool const asked =
-        m_stage == stage::proving && !m_handshake.hello_nonce.empty();
+    bool const hello_sent =
+        m_stage == stage::authenticating && !m_handshake.hello_nonce.empty();
     auto const expected =
         make_proof(m_settings.secret, proof_side::acceptor, m_handshake);
-    if (!asked || !equal_proofs(welcome.proof, expected)) {
+    if (!hello_sent || !equal_proofs(welcome.proof, expected)) {
         ++m_counters.refused_handshakes;
         model::error const error(model::error_kind::unauthenticated,
                                  "the host at the address of " + m_peer
                                      + " does not know the secret",
                                  "give all hosts the same peer secret");
-        lose(&error);
+        handle_loss(&error);
         return;
     }
     m_stage = stage::ready;
-    m_told_connected = true;
-    m_used = m_loop.now();
+    m_reported_connected = true;
+    m_used_at = m_loop.now();
     m_next_ping = m_loop.now() + m_settings.ping_period;
     for (std::string const& bytes : std::exchange(m_pending, {})) {
         m_connection->send(bytes);
@@ -160,7 +161,7 @@
     m_handshake = {};
 }
 
-void peer_dialer::lose(model::error const* error)
+void peer_dialer::handle_loss(model::error const* error)
 {
     bool const was_ready = m_stage == stage::ready;
     drop_connection();
@@ -177,7 +178,7 @@
     m_pending_bytes = 0;
     m_stage = stage::waiting;
     m_deadline = m_loop.now() + m_settings.reconnect_delay;
-    if (std::exchange(m_told_connected, false)) {
+    if (std::exchange(m_reported_connected, false)) {
         m_calls.disconnected(m_peer);
     }
 }
@@ -187,26 +188,28 @@
     auto const now = m_loop.now();
     if (m_stage == stage::waiting && now >= m_deadline) {
         m_stage = stage::idle;
-        if (m_wanted || !m_pending.empty()) {
+        if (m_is_persistent || !m_pending.empty()) {
             connect();
         }
-    } else if ((m_stage == stage::connecting || m_stage == stage::proving)
+    } else if ((m_stage == stage::connecting
+                || m_stage == stage::authenticating)
                && now >= m_deadline) {
         model::error const error(model::error_kind::timed_out,
                                  "no connection to " + m_peer + " in time",
                                  "see that its peer port can be reached");
-        lose(&error);
+        handle_loss(&error);
     } else if (m_stage == stage::ready) {
-        if (now - m_heard >= m_settings.silence_limit) {
+        if (now - m_received_at >= m_settings.silence_limit) {
             ++m_counters.silent_connections;
-            lose(nullptr);
-        } else if (!m_wanted && now - m_used >= m_settings.idle_timeout) {
+            handle_loss(nullptr);
+        } else if (!m_is_persistent
+                   && now - m_used_at >= m_settings.idle_timeout) {
             drop_connection();
             m_stage = stage::idle;
-            m_told_connected = false;
+            m_reported_connected = false;
         } else if (now >= m_next_ping) {
             m_next_ping = now + m_settings.ping_period;
-            m_connection->send(encode(peer_ping{++m_pings}));
+            m_connection->send(encode(peer_ping{++m_last_ping}));
         }
     }
 }
--- a/src/net/peer_dialer.hpp
+++ b/src/net/peer_dialer.hpp
@@ -45,10 +45,10 @@
                 callbacks const& calls);
 
     /// Whether the connection is to be kept up though nothing is sent.
-    void keep(bool wanted);
+    void set_persistent(bool persistent);
 
     /// A peer that is replaced comes back at another address.
-    void move_to(model::endpoint const& address);
+    void set_address(model::endpoint const& address);
 
     /// False if the queue is full.
     bool send(std::string const& bytes);
@@ -68,17 +68,17 @@
     {
         idle,
         connecting,
-        proving,
+        authenticating,
         ready,
         /// The last try failed; the next one is due later.
         waiting,
     };
 
     void connect();
-    void take(peer_frame const& frame);
-    void take_challenge(peer_challenge const& challenge);
-    void take_welcome(peer_welcome const& welcome);
-    void lose(model::error const* error);
+    void handle(peer_frame const& frame);
+    void handle_challenge(peer_challenge const& challenge);
+    void handle_welcome(peer_welcome const& welcome);
+    void handle_loss(model::error const* error);
     void drop_connection();
 
     std::string m_peer;
@@ -90,15 +90,15 @@
     std::shared_ptr<peer_connection> m_connection;
     peer_handshake m_handshake;
     stage m_stage = stage::idle;
-    bool m_wanted = false;
+    bool m_is_persistent = false;
     /// Told of as connected, and not as disconnected since.
-    bool m_told_connected = false;
+    bool m_reported_connected = false;
     std::deque<std::string> m_pending;
     std::size_t m_pending_bytes = 0;
-    std::uint64_t m_pings = 0;
+    std::uint64_t m_last_ping = 0;
     model::time_point m_deadline{};
-    model::time_point m_heard{};
-    model::time_point m_used{};
+    model::time_point m_received_at{};
+    model::time_point m_used_at{};
     model::time_point m_next_ping{};
 };
 
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -14,7 +14,7 @@
 // Bounds how late a silence or a deadline is noticed.
 constexpr model::milliseconds tick_period{100};
 
-void check(peer_link_settings const& settings)
+void check_settings(peer_link_settings const& settings)
 {
     if (settings.secret.size() < min_secret_bytes) {
         throw model::error(model::error_kind::bad_settings,
@@ -96,14 +96,14 @@
         if (known != dialers.end()) {
             return known->second;
         }
-        auto const place = listed.find(host);
-        if (place == listed.end()) {
+        auto const entry = listed.find(host);
+        if (entry == listed.end()) {
             return nullptr;
         }
-        auto made = std::make_shared<peer_dialer>(
-            host, place->second, loop, settings, counters, dialer_calls);
-        dialers.emplace(host, made);
-        return made;
+        auto created = std::make_shared<peer_dialer>(
+            host, entry->second, loop, settings, counters, dialer_calls);
+        dialers.emplace(host, created);
+        return created;
     }
 
     peer_link& link;
@@ -111,7 +111,7 @@
     peer_link_settings settings;
     peer_link_counters counters;
     std::map<std::string, model::endpoint> listed;
-    std::set<std::string> kept;
+    std::set<std::string> persistent;
     std::map<std::string, std::shared_ptr<peer_dialer>> dialers;
     peer_dialer::callbacks dialer_calls;
     peer_acceptor acceptor;
@@ -120,7 +120,7 @@
 
 peer_link::peer_link(runtime::event_loop& loop, peer_link_settings settings)
 {
-    check(settings);
+    check_settings(settings);
     m_state = std::make_unique<state>(*this, loop, std::move(settings));
 }
 
@@ -128,42 +128,42 @@
 
 void peer_link::set_hosts(std::vector<model::host> const& hosts)
 {
-    state& own = *m_state;
-    own.listed.clear();
+    state& self = *m_state;
+    self.listed.clear();
     for (model::host const& host : hosts) {
-        if (host.name != own.settings.host) {
-            own.listed.emplace(host.name, host.peers);
+        if (host.name != self.settings.host) {
+            self.listed.emplace(host.name, host.peers);
         }
     }
-    auto const current = own.dialers;
+    auto const current = self.dialers;
     for (auto const& [name, dialer] : current) {
-        auto const place = own.listed.find(name);
-        if (place != own.listed.end()) {
-            dialer->move_to(place->second);
+        auto const entry = self.listed.find(name);
+        if (entry != self.listed.end()) {
+            dialer->set_address(entry->second);
             continue;
         }
         bool const was_connected = dialer->is_connected();
-        own.dialers.erase(name);
+        self.dialers.erase(name);
         // Freed when whatever called here has returned.
-        own.loop.defer([dialer = dialer] {});
+        self.loop.defer([dialer = dialer] {});
         if (was_connected) {
             disconnected.emit(name);
         }
     }
-    own.acceptor.drop_unlisted();
-    set_persistent_peers({own.kept.begin(), own.kept.end()});
+    self.acceptor.drop_unlisted();
+    set_persistent_peers({self.persistent.begin(), self.persistent.end()});
 }
 
 void peer_link::set_persistent_peers(std::vector<std::string> const& hosts)
 {
-    state& own = *m_state;
-    own.kept = {hosts.begin(), hosts.end()};
-    for (auto const& [name, dialer] : own.dialers) {
-        dialer->keep(own.kept.count(name) != 0);
+    state& self = *m_state;
+    self.persistent = {hosts.begin(), hosts.end()};
+    for (auto const& [name, dialer] : self.dialers) {
+        dialer->set_persistent(self.persistent.count(name) != 0);
     }
     for (std::string const& name : hosts) {
-        if (auto const dialer = own.dialer(name)) {
-            dialer->keep(true);
+        if (auto const dialer = self.dialer(name)) {
+            dialer->set_persistent(true);
         }
     }
 }
@@ -177,14 +177,14 @@
 
 bool peer_link::is_connected(std::string const& host) const
 {
-    auto const place = m_state->dialers.find(host);
-    return place != m_state->dialers.end() && place->second->is_connected();
+    auto const entry = m_state->dialers.find(host);
+    return entry != m_state->dialers.end() && entry->second->is_connected();
 }
 
 std::size_t peer_link::queued_bytes(std::string const& host) const
 {
-    auto const place = m_state->dialers.find(host);
-    return place == m_state->dialers.end() ? 0 : place->second->queued_bytes();
+    auto const entry = m_state->dialers.find(host);
+    return entry == m_state->dialers.end() ? 0 : entry->second->queued_bytes();
 }
 
 std::uint16_t peer_link::port() const
--- a/src/net/peer_read.cpp
+++ b/src/net/peer_read.cpp
@@ -16,24 +16,25 @@
              values->upstreams()}};
 }
 
-fleet::published_value published(std::uint8_t number)
+fleet::published_value read_published_value(std::uint8_t number)
 {
     return enumerator(
         number, fleet::published_value::upstreams, "published value");
 }
 
 template <typename Table>
-fleet::config_announce announced(Table const& table)
+fleet::config_announce read_announcement(Table const& table)
 {
-    fleet::config_announce told;
-    told.latest = revisions(table.latest());
-    told.in_force =
-        table.in_force() == nullptr ? told.latest : revisions(table.in_force());
-    return told;
+    fleet::config_announce announcement;
+    announcement.latest = revisions(table.latest());
+    announcement.in_force = table.in_force() == nullptr
+                                ? announcement.latest
+                                : revisions(table.in_force());
+    return announcement;
 }
 
-std::vector<fleet::membership_update>
-rumours(flatbuffers::Vector<flatbuffers::Offset<wire::Rumour>> const* tables)
+std::vector<fleet::membership_update> membership_updates(
+    flatbuffers::Vector<flatbuffers::Offset<wire::Rumour>> const* tables)
 {
     std::vector<fleet::membership_update> values;
     if (tables == nullptr) {
@@ -64,32 +65,32 @@
     return values;
 }
 
-fleet::peer_message take(wire::Heartbeat const& table)
+fleet::peer_message read_table(wire::Heartbeat const& table)
 {
     fleet::heartbeat value;
     value.generation = table.generation();
     value.leaving = table.leaving();
     value.expects_reply = table.expects_reply();
     value.updates_hash = table.rumours_hash();
-    value.configuration = announced(table);
+    value.configuration = read_announcement(table);
     return value;
 }
 
-fleet::peer_message take(wire::ProbeReply const& table)
+fleet::peer_message read_table(wire::ProbeReply const& table)
 {
     fleet::probe_reply value;
     value.number = table.number();
     value.generation = table.generation();
     value.leaving = table.leaving();
-    value.configuration = announced(table);
-    value.updates = rumours(table.rumours());
+    value.configuration = read_announcement(table);
+    value.updates = membership_updates(table.rumours());
     return value;
 }
 
-fleet::peer_message take(wire::Value const& table)
+fleet::peer_message read_table(wire::Value const& table)
 {
     fleet::config_value value;
-    value.value = published(table.value());
+    value.value = read_published_value(table.value());
     value.revision = table.revision();
     value.hash = table.hash();
     value.base = table.base();
@@ -108,7 +109,7 @@
     return value;
 }
 
-fleet::peer_message take(wire::HandoverRequest const& table)
+fleet::peer_message read_table(wire::HandoverRequest const& table)
 {
     fleet::hand_over_request value;
     value.id = {table.id()};
@@ -121,7 +122,7 @@
     return value;
 }
 
-fleet::peer_message take(wire::HandoverEnd const& table)
+fleet::peer_message read_table(wire::HandoverEnd const& table)
 {
     fleet::hand_over_end value;
     value.id = {table.id()};
@@ -134,11 +135,11 @@
     return value;
 }
 
-fleet::peer_message take_handover(wire::Frame const& frame)
+fleet::peer_message read_hand_over(wire::Frame const& frame)
 {
     switch (frame.body_type()) {
     case wire::Body::HandoverRequest:
-        return take(*frame.body_as_HandoverRequest());
+        return read_table(*frame.body_as_HandoverRequest());
     case wire::Body::HandoverChunk: {
         auto const& table = *frame.body_as_HandoverChunk();
         return fleet::hand_over_chunk{{table.id()},
@@ -147,7 +148,7 @@
                                       text(table.bytes())};
     }
     case wire::Body::HandoverEnd:
-        return take(*frame.body_as_HandoverEnd());
+        return read_table(*frame.body_as_HandoverEnd());
     case wire::Body::HandoverCancel:
         return fleet::hand_over_cancel{{frame.body_as_HandoverCancel()->id()}};
     case wire::Body::OrderWish: {
@@ -193,23 +194,23 @@
 {
     switch (frame.body_type()) {
     case wire::Body::Heartbeat:
-        return take(*frame.body_as_Heartbeat());
+        return read_table(*frame.body_as_Heartbeat());
     case wire::Body::Rumours:
         return fleet::membership_updates{
-            rumours(frame.body_as_Rumours()->rumours())};
+            membership_updates(frame.body_as_Rumours()->rumours())};
     case wire::Body::Probe:
         return fleet::probe{frame.body_as_Probe()->number()};
     case wire::Body::ProbeReply:
-        return take(*frame.body_as_ProbeReply());
+        return read_table(*frame.body_as_ProbeReply());
     case wire::Body::Announce:
-        return announced(*frame.body_as_Announce());
+        return read_announcement(*frame.body_as_Announce());
     case wire::Body::Fetch: {
         auto const& table = *frame.body_as_Fetch();
         return fleet::config_fetch{
-            published(table.value()), table.wanted(), table.held()};
+            read_published_value(table.value()), table.wanted(), table.held()};
     }
     case wire::Body::Value:
-        return take(*frame.body_as_Value());
+        return read_table(*frame.body_as_Value());
     case wire::Body::Digest: {
         auto const& table = *frame.body_as_Digest();
         return fleet::load_digest{text(table.host()),
@@ -218,7 +219,7 @@
                                   bytes(table.bytes())};
     }
     default:
-        return take_handover(frame);
+        return read_hand_over(frame);
     }
 }
 
--- a/src/net/peer_read_claims.cpp
+++ b/src/net/peer_read_claims.cpp
@@ -24,7 +24,7 @@
     return enumerator(number, fleet::claim_state::done, "state of a claim");
 }
 
-fleet::claim_message take(wire::ClaimRequest const& table)
+fleet::claim_message read_table(wire::ClaimRequest const& table)
 {
     return fleet::claim_request{key_of(table.key()),
                                 attempt(table.attempt()),
@@ -32,7 +32,7 @@
                                 table.list_revision()};
 }
 
-fleet::claim_message take(wire::ClaimReply const& table)
+fleet::claim_message read_table(wire::ClaimReply const& table)
 {
     fleet::claim_reply value;
     value.key = key_of(table.key());
@@ -51,7 +51,7 @@
     return value;
 }
 
-fleet::claim_record take(wire::ClaimRecord const& table)
+fleet::claim_record read_table(wire::ClaimRecord const& table)
 {
     fleet::claim_record value;
     value.key = key_of(table.key());
@@ -63,7 +63,7 @@
     return value;
 }
 
-fleet::claim_message take(wire::ClaimTransfer const& table)
+fleet::claim_message read_table(wire::ClaimTransfer const& table)
 {
     fleet::claim_transfer value;
     value.generation = table.generation();
@@ -77,13 +77,13 @@
     }
     if (table.claims() != nullptr) {
         for (wire::ClaimRecord const* const claim : *table.claims()) {
-            value.claims.push_back(take(*claim));
+            value.claims.push_back(read_table(*claim));
         }
     }
     return value;
 }
 
-fleet::claim_message take(wire::AnswerReply const& table)
+fleet::claim_message read_table(wire::AnswerReply const& table)
 {
     return fleet::answer_reply{key_of(table.key()),
                                table.ticket(),
@@ -106,7 +106,7 @@
             table.generation(), table.offer_generation(), table.number()};
     }
     case wire::Body::ClaimTransfer:
-        return take(*frame.body_as_ClaimTransfer());
+        return read_table(*frame.body_as_ClaimTransfer());
     case wire::Body::ClaimTransferAck: {
         auto const& table = *frame.body_as_ClaimTransferAck();
         return fleet::claim_transfer_ack{table.offer_generation(),
@@ -123,9 +123,9 @@
 {
     switch (frame.body_type()) {
     case wire::Body::ClaimRequest:
-        return take(*frame.body_as_ClaimRequest());
+        return read_table(*frame.body_as_ClaimRequest());
     case wire::Body::ClaimReply:
-        return take(*frame.body_as_ClaimReply());
+        return read_table(*frame.body_as_ClaimReply());
     case wire::Body::ClaimRelease: {
         auto const& table = *frame.body_as_ClaimRelease();
         return fleet::claim_release{key_of(table.key()),
@@ -146,7 +146,7 @@
             key_of(table.key()), attempt(table.attempt()), table.ticket()};
     }
     case wire::Body::AnswerReply:
-        return take(*frame.body_as_AnswerReply());
+        return read_table(*frame.body_as_AnswerReply());
     default:
         return take_vote_message(frame);
     }
--- a/src/net/peer_write.cpp
+++ b/src/net/peer_write.cpp
@@ -16,12 +16,12 @@
 
 /// A host mostly has in force what it has; then only one of the two is sent,
 /// which takes a quarter off every heartbeat.
-struct wire_announce
+struct announced_revisions
 {
-    explicit wire_announce(fleet::config_announce const& told)
-        : latest(revisions(told.latest))
-        , in_force(revisions(told.in_force))
-        , equal(told.latest == told.in_force)
+    explicit announced_revisions(fleet::config_announce const& revisions_sent)
+        : latest(revisions(revisions_sent.latest))
+        , in_force(revisions(revisions_sent.in_force))
+        , equal(revisions_sent.latest == revisions_sent.in_force)
     {
     }
 
@@ -61,8 +61,8 @@
     return m_builder.CreateVector(value.data(), value.size());
 }
 
-peer_writer::tables_offset<wire::Rumour>
-peer_writer::rumours(std::vector<fleet::membership_update> const& values)
+peer_writer::tables_offset<wire::Rumour> peer_writer::membership_updates(
+    std::vector<fleet::membership_update> const& values)
 {
     std::vector<flatbuffers::Offset<wire::Rumour>> tables;
     tables.reserve(values.size());
@@ -130,20 +130,20 @@
 
 written_body peer_writer::operator()(fleet::heartbeat const& message)
 {
-    wire_announce const told(message.configuration);
+    announced_revisions const revisions_sent(message.configuration);
     return finish(wire::Body::Heartbeat,
                   wire::CreateHeartbeat(m_builder,
                                         message.generation,
                                         message.leaving,
                                         message.expects_reply,
                                         message.updates_hash,
-                                        &told.latest,
-                                        told.in_force_or_null()));
+                                        &revisions_sent.latest,
+                                        revisions_sent.in_force_or_null()));
 }
 
 written_body peer_writer::operator()(fleet::membership_updates const& message)
 {
-    auto const tables = rumours(message.updates);
+    auto const tables = membership_updates(message.updates);
     return finish(wire::Body::Rumours, wire::CreateRumours(m_builder, tables));
 }
 
@@ -155,24 +155,25 @@
 
 written_body peer_writer::operator()(fleet::probe_reply const& message)
 {
-    wire_announce const told(message.configuration);
-    auto const tables = rumours(message.updates);
+    announced_revisions const revisions_sent(message.configuration);
+    auto const tables = membership_updates(message.updates);
     return finish(wire::Body::ProbeReply,
                   wire::CreateProbeReply(m_builder,
                                          message.number,
                                          message.generation,
                                          message.leaving,
-                                         &told.latest,
-                                         told.in_force_or_null(),
+                                         &revisions_sent.latest,
+                                         revisions_sent.in_force_or_null(),
                                          tables));
 }
 
 written_body peer_writer::operator()(fleet::config_announce const& message)
 {
-    wire_announce const told(message);
-    return finish(
-        wire::Body::Announce,
-        wire::CreateAnnounce(m_builder, &told.latest, told.in_force_or_null()));
+    announced_revisions const revisions_sent(message);
+    return finish(wire::Body::Announce,
+                  wire::CreateAnnounce(m_builder,
+                                       &revisions_sent.latest,
+                                       revisions_sent.in_force_or_null()));
 }
 
 written_body peer_writer::operator()(fleet::config_fetch const& message)
@@ -195,7 +196,7 @@
                                             change.removed,
                                             inserted));
     }
-    auto const splices = m_builder.CreateVector(tables);
+    auto const deltas = m_builder.CreateVector(tables);
     // No body and an empty one are not the same.
     auto const body =
         message.body != nullptr ? text(*message.body) : text_offset();
@@ -206,7 +207,7 @@
                                     message.hash,
                                     message.base,
                                     body,
-                                    splices));
+                                    deltas));
 }
 
 written_body peer_writer::operator()(fleet::load_digest const& message)
--- a/src/net/peer_write.hpp
+++ b/src/net/peer_write.hpp
@@ -75,7 +75,7 @@
     bytes_offset bytes(std::string_view value);
     bytes_offset bytes(std::vector<std::uint8_t> const& value);
     tables_offset<wire::Rumour>
-    rumours(std::vector<fleet::membership_update> const& values);
+    membership_updates(std::vector<fleet::membership_update> const& values);
     tables_offset<wire::Field>
     fields(std::vector<fleet::header_field> const& values);
     flatbuffers::Offset<wire::Attempt>
--- a/src/net/peer_write_claims.cpp
+++ b/src/net/peer_write_claims.cpp
@@ -33,11 +33,11 @@
 written_body peer_writer::operator()(fleet::claim_request const& message)
 {
     auto const key = key_of(message.key);
-    auto const asking = attempt(message.attempt);
+    auto const requester = attempt(message.attempt);
     return finish(wire::Body::ClaimRequest,
                   wire::CreateClaimRequest(m_builder,
                                            &key,
-                                           asking,
+                                           requester,
                                            message.fingerprint,
                                            message.list_revision));
 }
@@ -45,13 +45,13 @@
 written_body peer_writer::operator()(fleet::claim_reply const& message)
 {
     auto const key = key_of(message.key);
-    auto const asking = attempt(message.attempt);
+    auto const requester = attempt(message.attempt);
     auto const holder = attempt(message.holder);
     return finish(
         wire::Body::ClaimReply,
         wire::CreateClaimReply(m_builder,
                                &key,
-                               asking,
+                               requester,
                                static_cast<std::uint8_t>(message.status),
                                message.vote,
                                message.voters,
--- a/src/net/platform_reader.cpp
+++ b/src/net/platform_reader.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t max_answer_bytes = model::limits::max_list_bytes * 2;
 
 /// One read, while its answer comes in.
-struct reading
+struct pending_answer
 {
     int status = 0;
     std::string body;
@@ -34,7 +34,7 @@
 }
 
 /// False if the answer is not what the service should send.
-bool fill(fleet::value_read& into, std::string const& body)
+bool parse_answer(fleet::value_read& into, std::string const& body)
 {
     nlohmann::json const answer = nlohmann::json::parse(body, nullptr, false);
     if (!answer.is_object() || !answer.contains("revision")
@@ -81,7 +81,7 @@
     call.to = m_service;
     call.method = "GET";
     call.path = std::move(path);
-    auto const state = std::make_shared<reading>();
+    auto const state = std::make_shared<pending_answer>();
     call_hooks hooks;
     hooks.head = [state](call_head const& head) {
         state->status = head.status;
@@ -94,12 +94,13 @@
     model::time_point const started = m_loop.now();
     hooks.done = [this, state, value, started](call_end end) {
         fleet::value_read read{value, 0, nullptr};
-        bool const whole = end == call_end::complete;
-        if (whole && state->status == status_ok && fill(read, state->body)) {
+        bool const completed = end == call_end::complete;
+        if (completed && state->status == status_ok
+            && parse_answer(read, state->body)) {
             arrived.emit(read, started);
             return;
         }
-        ended.emit({value, !whole || state->status != status_not_modified},
+        ended.emit({value, !completed || state->status != status_not_modified},
                    started);
     };
     m_client.start(call, std::move(hooks));
--- a/src/net/relay.cpp
+++ b/src/net/relay.cpp
@@ -12,10 +12,10 @@
 // Bytes that wait for a slow caller. Above the first the engine's answer is
 // left unread, below the second reading goes on; without a bound one caller
 // that doesn't read would fill the host's memory.
-constexpr std::size_t hold_above = 1'048'576;
-constexpr std::size_t release_below = 262'144;
+constexpr std::size_t pause_above_bytes = 1'048'576;
+constexpr std::size_t resume_below_bytes = 262'144;
 
-model::milliseconds since(model::time_point start, model::time_point end)
+model::milliseconds elapsed(model::time_point start, model::time_point end)
 {
     return std::chrono::duration_cast<model::milliseconds>(end - start);
 }
@@ -41,32 +41,32 @@
     , m_caller_server(loop,
                       settings,
                       {[this](std::unique_ptr<exchange> arrived) {
-                           return take(std::move(arrived));
+                           return accept(std::move(arrived));
                        },
                        [this](model::request_id id) {
-                           forget_caller(id);
+                           handle_disconnect(id);
                        }})
-    , m_account(loop.every(account_period, [this] {
-        account();
+    , m_poll_timer(loop.every(poll_period, [this] {
+        poll_exchanges();
     }))
 {
 }
 
 relay::~relay()
 {
-    m_loop.cancel(m_account);
+    m_loop.cancel(m_poll_timer);
 }
 
 void relay::handle(relay_message& message)
 {
-    std::visit(overloaded{[this](decide::decision& made) {
-                              carry_out(made);
+    std::visit(overloaded{[this](decide::decision& decision) {
+                              execute(decision);
                           },
                           [this](use_lists& lists) {
                               m_caller_server.use(std::move(lists.catalogue));
                           },
                           [this](use_upstreams& listed) {
-                              use(listed.upstreams);
+                              set_upstreams(listed.upstreams);
                           },
                           [this](dispatch_booking& booking) {
                               start_booking(booking);
@@ -78,16 +78,16 @@
                               serve(given);
                           },
                           [this](receive_chunk& part) {
-                              take(part);
+                              receive(part);
                           },
                           [this](receive_end& end) {
-                              take(end);
+                              receive(end);
                           },
                           [this](cancel_handed_over& over) {
                               cancel(over);
                           },
-                          [this](drop_host& lost) {
-                              lose(lost);
+                          [this](drop_host& dropped) {
+                              drop(dropped);
                           },
                           [this](stop_accepting&) {
                               m_stopping = true;
@@ -96,7 +96,7 @@
                message);
 }
 
-void relay::use(model::upstream_list const& upstreams)
+void relay::set_upstreams(model::upstream_list const& upstreams)
 {
     m_addresses.clear();
     for (model::engine const& engine : upstreams.engines) {
@@ -122,7 +122,7 @@
     }
     m_backlog.push_back(std::move(report));
     if (m_backlog.size() == 1) {
-        m_loop.after(backlog_retry, [this] {
+        m_loop.after(backlog_retry_delay, [this] {
             send_backlog();
         });
     }
@@ -134,18 +134,18 @@
         m_backlog.pop_front();
     }
     if (!m_backlog.empty()) {
-        m_loop.after(backlog_retry, [this] {
+        m_loop.after(backlog_retry_delay, [this] {
             send_backlog();
         });
     }
 }
 
-void relay::tell(decide::event event)
+void relay::report_event(decide::event event)
 {
     report(std::move(event));
 }
 
-bool relay::take(std::unique_ptr<exchange> arrived)
+bool relay::accept(std::unique_ptr<exchange> arrived)
 {
     if (m_exchanges.size() >= m_settings.max_exchanges || !m_backlog.empty()) {
         return false;
@@ -163,36 +163,37 @@
     return true;
 }
 
-void relay::forget_caller(model::request_id id)
+void relay::handle_disconnect(model::request_id id)
 {
-    exchange* const held = find(id);
-    if (held == nullptr) {
+    exchange* const active = find(id);
+    if (active == nullptr) {
         return;
     }
-    held->caller.reset();
-    bool const running = static_cast<bool>(held->call);
-    if (!held->request.repeatable && running) {
+    active->caller.reset();
+    bool const running = static_cast<bool>(active->call);
+    if (!active->request.repeatable && running) {
         // It may have run, and a resend will ask for its answer: it goes on
         // to its end.
         return;
     }
-    if (!held->to_host.empty()) {
-        report(hand_over_cancelled{held->to_host, id});
+    if (!active->to_host.empty()) {
+        report(hand_over_cancelled{active->to_host, id});
     }
-    tell(decide::request_cancelled{id});
-    m_client.cancel(held->call);
-    bool const clean = !running && !held->begun && held->to_host.empty();
-    finish(*held,
-           clean ? model::outcome::not_run : model::outcome::unknown,
+    report_event(decide::request_cancelled{id});
+    m_client.cancel(active->call);
+    bool const not_started =
+        !running && !active->answer_started && active->to_host.empty();
+    finish(*active,
+           not_started ? model::outcome::not_run : model::outcome::unknown,
            "hung_up");
 }
 
-void relay::carry_out(decide::decision const& decision)
+void relay::execute(decide::decision const& decision)
 {
     if (auto const* to = std::get_if<decide::dispatch>(&decision)) {
         start_attempt(*to);
-    } else if (auto const* no = std::get_if<decide::refuse>(&decision)) {
-        refuse(*no);
+    } else if (auto const* refusal = std::get_if<decide::refuse>(&decision)) {
+        refuse(*refusal);
     } else if (auto const* end =
                    std::get_if<decide::cancel_attempt>(&decision)) {
         cancel_attempt(*end);
@@ -201,85 +202,89 @@
     }
 }
 
-void relay::refuse(decide::refuse const& no)
+void relay::refuse(decide::refuse const& refusal)
 {
-    exchange* const held = find(no.id);
-    if (held == nullptr) {
+    exchange* const active = find(refusal.id);
+    if (active == nullptr) {
         return;
     }
-    m_client.cancel(held->call);
+    m_client.cancel(active->call);
     error_reply const error{
-        no.kind,
-        fmt::format("the request was refused: {}", no.reason),
-        no.remedy,
-        no.retry_after};
-    reply_metadata const facts{no.id, no.outcome};
-    bool const give_back = !held->from_host.empty() && !held->begun
-                           && no.outcome == model::outcome::not_run;
-    if (give_back) {
-        report(hand_over_ended{
-            held->from_host,
-            {no.id, fleet::hand_over_result::refused, no.outcome, no.reason}});
-    } else if (held->caller && held->begun) {
-        held->caller->events(
+        refusal.kind,
+        fmt::format("the request was refused: {}", refusal.reason),
+        refusal.remedy,
+        refusal.retry_after};
+    reply_metadata const metadata{refusal.id, refusal.outcome};
+    bool const returns_to_origin =
+        !active->from_host.empty() && !active->answer_started
+        && refusal.outcome == model::outcome::not_run;
+    if (returns_to_origin) {
+        report(hand_over_ended{active->from_host,
+                               {refusal.id,
+                                fleet::hand_over_result::refused,
+                                refusal.outcome,
+                                refusal.reason}});
+    } else if (active->caller && active->answer_started) {
+        active->caller->events(
             fmt::format("data: {}\n\n{}",
-                        error_body(error, facts),
+                        error_body(error, metadata),
                         closing_events(model::outcome::unknown)));
-        held->caller->end(model::outcome::unknown);
-    } else if (held->caller) {
-        send_error(*held->caller, error, facts);
+        active->caller->end(model::outcome::unknown);
+    } else if (active->caller) {
+        send_error(*active->caller, error, metadata);
     }
-    finish(*held, no.outcome, no.reason);
+    finish(*active, refusal.outcome, refusal.reason);
 }
 
 void relay::answer_stored(replay_answer const& answer)
 {
-    exchange* const held = find(answer.id);
-    if (held == nullptr) {
+    exchange* const active = find(answer.id);
+    if (active == nullptr) {
         return;
     }
-    if (held->caller) {
-        held->caller->whole({answer.status,
-                             answer.content_type,
-                             answer.body,
-                             {answer.id, model::outcome::ran}});
+    if (active->caller) {
+        active->caller->complete({answer.status,
+                                  answer.content_type,
+                                  answer.body,
+                                  {answer.id, model::outcome::ran}});
     }
-    finish(*held, model::outcome::ran, "");
+    finish(*active, model::outcome::ran, "");
 }
 
-void relay::finish(exchange& held, model::outcome outcome, std::string error)
+void relay::finish(exchange& active, model::outcome outcome, std::string error)
 {
     model::time_point const now = m_loop.now();
     exchange_ended ended;
-    ended.id = held.request.id;
-    ended.customer = held.request.customer;
-    ended.service_class = held.request.service_class;
+    ended.id = active.request.id;
+    ended.customer = active.request.customer;
+    ended.service_class = active.request.service_class;
     ended.outcome = outcome;
     ended.error = std::move(error);
-    ended.tokens = held.relayed_tokens;
-    ended.total_time = since(held.request.arrived, now);
-    if (held.first_byte != model::time_point{}) {
-        ended.first_byte = since(held.request.arrived, held.first_byte);
+    ended.tokens = active.relayed_tokens;
+    ended.total_time = elapsed(active.request.arrived, now);
+    if (active.first_byte_at != model::time_point{}) {
+        ended.first_byte =
+            elapsed(active.request.arrived, active.first_byte_at);
     }
     m_exchanges.erase(ended.id);
     report(std::move(ended));
 }
 
-void relay::account()
+void relay::poll_exchanges()
 {
-    for (auto& [id, held] : m_exchanges) {
-        if (held->untold_tokens > 0) {
-            tell(decide::tokens_relayed{id, held->untold_tokens});
-            held->untold_tokens = 0;
+    for (auto& [id, active] : m_exchanges) {
+        if (active->unreported_tokens > 0) {
+            report_event(decide::tokens_relayed{id, active->unreported_tokens});
+            active->unreported_tokens = 0;
         }
-        if (!held->call || !held->begun || !held->caller) {
+        if (!active->call || !active->answer_started || !active->caller) {
             continue;
         }
-        std::size_t const waiting = held->caller->unsent();
-        if (waiting > hold_above) {
-            m_client.hold(held->call, true);
-        } else if (waiting < release_below) {
-            m_client.hold(held->call, false);
+        std::size_t const waiting = active->caller->unsent_bytes();
+        if (waiting > pause_above_bytes) {
+            m_client.set_paused(active->call, true);
+        } else if (waiting < resume_below_bytes) {
+            m_client.set_paused(active->call, false);
         }
     }
     if (m_stopping && m_exchanges.empty()) {
--- a/src/net/relay.hpp
+++ b/src/net/relay.hpp
@@ -28,10 +28,10 @@
     /// How often relayed tokens are told, and buffers looked at. Several
     /// tokens of a stream come in that time; telling each alone would cost
     /// the task that decides as much as relaying it.
-    static constexpr model::milliseconds account_period{200};
+    static constexpr model::milliseconds poll_period{200};
 
     /// Until reports that found no room are offered again.
-    static constexpr model::milliseconds backlog_retry{1};
+    static constexpr model::milliseconds backlog_retry_delay{1};
 
     /// Passes reports to the task that decides; false if it is full.
     using report_hook = std::function<bool(relay_report&)>;
@@ -57,43 +57,44 @@
 
 private:
     // Exchanges: begin and end.
-    bool take(std::unique_ptr<exchange> arrived);
-    void forget_caller(model::request_id id);
-    void finish(exchange& held, model::outcome outcome, std::string error);
+    bool accept(std::unique_ptr<exchange> arrived);
+    void handle_disconnect(model::request_id id);
+    void finish(exchange& active, model::outcome outcome, std::string error);
     void refuse(decide::refuse const& refuse);
     void answer_stored(replay_answer const& answer);
-    void account();
-    void use(model::upstream_list const& upstreams);
+    void poll_exchanges();
+    void set_upstreams(model::upstream_list const& upstreams);
     exchange* find(model::request_id id);
 
     // Attempts at upstreams.
-    void carry_out(decide::decision const& decision);
+    void execute(decide::decision const& decision);
     void start_attempt(decide::dispatch const& to);
     void start_booking(dispatch_booking const& booking);
     void cancel_attempt(decide::cancel_attempt const& cancel);
-    upstream_call make_call(exchange const& held, decide::dispatch const& to);
-    void take_head(model::request_id id, call_head const& head);
-    void take_bytes(model::request_id id, std::string_view bytes);
-    void take_stream(exchange& held, std::string_view bytes);
+    upstream_call make_call(exchange const& active, decide::dispatch const& to);
+    void handle_head(model::request_id id, call_head const& head);
+    void handle_bytes(model::request_id id, std::string_view bytes);
+    void handle_stream(exchange& active, std::string_view bytes);
     void end_attempt(model::request_id id, call_end end);
-    decide::attempt_end judge(exchange const& held, call_end end) const;
-    void answer_whole(exchange& held);
-    void answer_failed(exchange& held);
-    void pass_events(exchange& held, std::string const& events);
+    decide::attempt_end classify_end(exchange const& active,
+                                     call_end end) const;
+    void send_answer(exchange& active);
+    void send_upstream_error(exchange& active);
+    void relay_events(exchange& active, std::string const& events);
 
     // Requests that go to or come from another host.
     void hand_over(decide::hand_over const& decision);
     void serve(serve_handed_over const& given);
     caller_sink make_peer_sink(std::string const& host, model::request_id id);
-    void take(receive_chunk const& part);
-    void take(receive_end const& end);
-    void take_broken_end(exchange& held, fleet::hand_over_end const& end);
+    void receive(receive_chunk const& part);
+    void receive(receive_end const& end);
+    void handle_broken_end(exchange& active, fleet::hand_over_end const& end);
     void cancel(cancel_handed_over const& cancel);
-    void lose(drop_host const& lost);
+    void drop(drop_host const& dropped);
 
     void report(relay_report report);
     void send_backlog();
-    void tell(decide::event event);
+    void report_event(decide::event event);
 
     runtime::event_loop& m_loop;
     relay_settings m_settings;
@@ -103,7 +104,7 @@
     std::unordered_map<model::request_id, std::unique_ptr<exchange>>
         m_exchanges;
     std::unordered_map<std::string, model::endpoint> m_addresses;
-    runtime::timer_handle m_account;
+    runtime::timer_handle m_poll_timer;
     // Reports that the other task had no room for.
     std::deque<relay_report> m_backlog;
     bool m_stopping = false;
--- a/src/net/relay_attempt.cpp
+++ b/src/net/relay_attempt.cpp
@@ -6,143 +6,146 @@
 namespace {
 
 constexpr int status_ok = 200;
-constexpr model::milliseconds late_booking_retry{1'000};
+constexpr model::milliseconds expired_claim_retry_after{1'000};
 
 } // namespace
 
-upstream_call relay::make_call(exchange const& held, decide::dispatch const& to)
+upstream_call relay::make_call(exchange const& active,
+                               decide::dispatch const& to)
 {
     upstream_call call;
     call.to = m_addresses[to.upstream];
-    call.method = held.method;
-    call.path = held.path;
-    call.body = held.body;
-    call.needs_new_connection = !held.request.repeatable;
-    call.headers = {{"Content-Type", held.content_type},
-                    {"caperjunction-request-id", to_string(held.request.id)},
+    call.method = active.method;
+    call.path = active.path;
+    call.body = active.body;
+    call.needs_new_connection = !active.request.repeatable;
+    call.headers = {{"Content-Type", active.content_type},
+                    {"caperjunction-request-id", to_string(active.request.id)},
                     {"caperjunction-priority", std::to_string(to.priority)}};
     if (to.resume_offset > 0) {
         call.headers.push_back(
             {"caperjunction-resume-offset", std::to_string(to.resume_offset)});
     }
-    if (!held.idempotency_key.empty()) {
-        call.headers.push_back({"Idempotency-Key", held.idempotency_key});
+    if (!active.idempotency_key.empty()) {
+        call.headers.push_back({"Idempotency-Key", active.idempotency_key});
     }
     return call;
 }
 
 void relay::start_attempt(decide::dispatch const& to)
 {
-    exchange* const held = find(to.id);
-    if (held == nullptr) {
+    exchange* const active = find(to.id);
+    if (active == nullptr) {
         return;
     }
-    held->upstream = to.upstream;
-    held->status = 0;
-    held->done_seen = false;
-    held->upstream_not_run = false;
-    held->scanner = {};
-    held->collected.clear();
+    active->upstream = to.upstream;
+    active->status = 0;
+    active->done_seen = false;
+    active->upstream_not_run = false;
+    active->scanner = {};
+    active->collected.clear();
     if (m_addresses.count(to.upstream) == 0) {
-        tell(decide::attempt_ended{to.id,
-                                   to.upstream,
-                                   decide::attempt_end::unreachable,
-                                   held->relayed_tokens,
-                                   0});
+        report_event(decide::attempt_ended{to.id,
+                                           to.upstream,
+                                           decide::attempt_end::unreachable,
+                                           active->relayed_tokens,
+                                           0});
         return;
     }
     model::request_id const id = to.id;
-    held->call = m_client.start(make_call(*held, to),
-                                {[this, id](call_head const& head) {
-                                     take_head(id, head);
-                                 },
-                                 [this, id](std::string_view bytes) {
-                                     take_bytes(id, bytes);
-                                 },
-                                 [this, id](call_end end) {
-                                     end_attempt(id, end);
-                                 }});
+    active->call = m_client.start(make_call(*active, to),
+                                  {[this, id](call_head const& head) {
+                                       handle_head(id, head);
+                                   },
+                                   [this, id](std::string_view bytes) {
+                                       handle_bytes(id, bytes);
+                                   },
+                                   [this, id](call_end end) {
+                                       end_attempt(id, end);
+                                   }});
 }
 
 void relay::cancel_attempt(decide::cancel_attempt const& cancel)
 {
-    exchange* const held = find(cancel.id);
-    if (held == nullptr || held->upstream != cancel.upstream) {
+    exchange* const active = find(cancel.id);
+    if (active == nullptr || active->upstream != cancel.upstream) {
         return;
     }
-    m_client.cancel(held->call);
-    held->call = {};
-    tell(decide::attempt_ended{cancel.id,
-                               cancel.upstream,
-                               decide::attempt_end::cancelled,
-                               held->relayed_tokens,
-                               0});
+    m_client.cancel(active->call);
+    active->call = {};
+    report_event(decide::attempt_ended{cancel.id,
+                                       cancel.upstream,
+                                       decide::attempt_end::cancelled,
+                                       active->relayed_tokens,
+                                       0});
 }
 
-void relay::take_head(model::request_id id, call_head const& head)
+void relay::handle_head(model::request_id id, call_head const& head)
 {
-    if (exchange* const held = find(id)) {
-        held->status = head.status;
-        held->answer_type = head.content_type;
-        held->upstream_not_run = head.not_run;
+    if (exchange* const active = find(id)) {
+        active->status = head.status;
+        active->answer_content_type = head.content_type;
+        active->upstream_not_run = head.not_run;
     }
 }
 
-void relay::take_bytes(model::request_id id, std::string_view bytes)
+void relay::handle_bytes(model::request_id id, std::string_view bytes)
 {
-    exchange* const held = find(id);
-    if (held == nullptr) {
+    exchange* const active = find(id);
+    if (active == nullptr) {
         return;
     }
-    if (held->mode != reply_mode::collected && held->status == status_ok) {
-        take_stream(*held, bytes);
+    if (active->mode != reply_mode::collected && active->status == status_ok) {
+        handle_stream(*active, bytes);
         return;
     }
-    held->collected.append(bytes);
-    if (held->collected.size() > m_settings.max_body_bytes) {
-        m_client.cancel(held->call);
+    active->collected.append(bytes);
+    if (active->collected.size() > m_settings.max_body_bytes) {
+        m_client.cancel(active->call);
         end_attempt(id, call_end::broken);
     }
 }
 
-void relay::take_stream(exchange& held, std::string_view bytes)
+void relay::handle_stream(exchange& active, std::string_view bytes)
 {
     std::string events;
-    sse_scan_result const found = held.scanner.feed(bytes, events);
-    held.done_seen = held.done_seen || found.done;
-    held.relayed_tokens += found.tokens;
-    held.untold_tokens += found.tokens;
-    if (!held.first_told && found.tokens > 0) {
-        held.first_told = true;
-        held.first_byte = m_loop.now();
-        tell(decide::tokens_relayed{held.request.id, held.untold_tokens});
-        held.untold_tokens = 0;
+    sse_scan_result const found = active.scanner.feed(bytes, events);
+    active.done_seen = active.done_seen || found.done;
+    active.relayed_tokens += found.tokens;
+    active.unreported_tokens += found.tokens;
+    if (!active.first_token_reported && found.tokens > 0) {
+        active.first_token_reported = true;
+        active.first_byte_at = m_loop.now();
+        report_event(decide::tokens_relayed{active.request.id,
+                                            active.unreported_tokens});
+        active.unreported_tokens = 0;
     }
-    bool const sound =
-        held.mode == reply_mode::events || held.assembler.add(events);
-    if (found.overlong || !sound) {
-        m_client.cancel(held.call);
-        end_attempt(held.request.id, call_end::broken);
+    bool const parsed =
+        active.mode == reply_mode::events || active.assembler.add(events);
+    if (found.overlong || !parsed) {
+        m_client.cancel(active.call);
+        end_attempt(active.request.id, call_end::broken);
         return;
     }
-    if (held.mode == reply_mode::events && !events.empty()) {
-        pass_events(held, events);
+    if (active.mode == reply_mode::events && !events.empty()) {
+        relay_events(active, events);
     }
 }
 
-void relay::pass_events(exchange& held, std::string const& events)
+void relay::relay_events(exchange& active, std::string const& events)
 {
-    if (!held.caller) {
+    if (!active.caller) {
         return;
     }
-    if (!held.begun) {
-        held.begun = true;
-        held.caller->begin(held.request.id);
+    if (!active.answer_started) {
+        active.answer_started = true;
+        active.caller->begin(active.request.id);
     }
-    held.caller->events(events);
+    active.caller->events(events);
 }
 
-decide::attempt_end relay::judge(exchange const& held, call_end end) const
+decide::attempt_end relay::classify_end(exchange const& active,
+                                        call_end end) const
 {
     constexpr int too_many_requests = 429;
     constexpr int service_unavailable = 503;
@@ -154,84 +157,89 @@
     if (end == call_end::broken) {
         return attempt_end::broken;
     }
-    if (held.upstream_not_run) {
+    if (active.upstream_not_run) {
         return attempt_end::refused;
     }
-    if (held.mode == reply_mode::collected) {
+    if (active.mode == reply_mode::collected) {
         return attempt_end::complete;
     }
-    if (held.status == status_ok) {
+    if (active.status == status_ok) {
         // A stream that ends without its closing event was cut short.
-        return held.done_seen ? attempt_end::complete : attempt_end::broken;
+        return active.done_seen ? attempt_end::complete : attempt_end::broken;
     }
-    if (held.status == too_many_requests
-        || held.status == service_unavailable) {
+    if (active.status == too_many_requests
+        || active.status == service_unavailable) {
         return attempt_end::refused;
     }
-    return held.status >= first_server_error ? attempt_end::broken
-                                             : attempt_end::failed;
+    return active.status >= first_server_error ? attempt_end::broken
+                                               : attempt_end::failed;
 }
 
 void relay::end_attempt(model::request_id id, call_end end)
 {
-    exchange* const held = find(id);
-    if (held == nullptr) {
+    exchange* const active = find(id);
+    if (active == nullptr) {
         return;
     }
-    held->call = {};
-    decide::attempt_end const judged = judge(*held, end);
-    if (held->untold_tokens > 0) {
-        tell(decide::tokens_relayed{id, held->untold_tokens});
-        held->untold_tokens = 0;
+    active->call = {};
+    decide::attempt_end const result = classify_end(*active, end);
+    if (active->unreported_tokens > 0) {
+        report_event(decide::tokens_relayed{id, active->unreported_tokens});
+        active->unreported_tokens = 0;
     }
-    tell(decide::attempt_ended{
-        id, held->upstream, judged, held->relayed_tokens, 0});
-    if (judged == decide::attempt_end::complete) {
-        answer_whole(*held);
-    } else if (judged == decide::attempt_end::failed) {
-        answer_failed(*held);
+    report_event(decide::attempt_ended{
+        id, active->upstream, result, active->relayed_tokens, 0});
+    if (result == decide::attempt_end::complete) {
+        send_answer(*active);
+    } else if (result == decide::attempt_end::failed) {
+        send_upstream_error(*active);
     }
 }
 
-void relay::answer_whole(exchange& held)
+void relay::send_answer(exchange& active)
 {
     model::outcome const outcome = model::outcome::ran;
-    reply_metadata const facts{held.request.id, outcome};
-    if (held.mode == reply_mode::collected) {
-        held.first_byte = m_loop.now();
+    reply_metadata const metadata{active.request.id, outcome};
+    if (active.mode == reply_mode::collected) {
+        active.first_byte_at = m_loop.now();
     }
-    if (!held.request.repeatable) {
-        report(booking_answered{held.request.id,
-                                static_cast<std::uint32_t>(held.status),
-                                held.answer_type,
-                                held.collected});
+    if (!active.request.repeatable) {
+        report(booking_answered{active.request.id,
+                                static_cast<std::uint32_t>(active.status),
+                                active.answer_content_type,
+                                active.collected});
     }
-    if (held.caller && held.mode == reply_mode::events) {
-        pass_events(held, closing_events(outcome));
-        held.caller->end(outcome);
-    } else if (held.caller && held.mode == reply_mode::assembled) {
-        std::string const answer = held.assembler.finish();
-        held.caller->whole({status_ok, "application/json", answer, facts});
-    } else if (held.caller) {
-        held.caller->whole(
-            {held.status, held.answer_type, held.collected, facts});
+    if (active.caller && active.mode == reply_mode::events) {
+        relay_events(active, closing_events(outcome));
+        active.caller->end(outcome);
+    } else if (active.caller && active.mode == reply_mode::assembled) {
+        std::string const answer = active.assembler.finish();
+        active.caller->complete(
+            {status_ok, "application/json", answer, metadata});
+    } else if (active.caller) {
+        active.caller->complete({active.status,
+                                 active.answer_content_type,
+                                 active.collected,
+                                 metadata});
     }
-    finish(held, outcome, "");
+    finish(active, outcome, "");
 }
 
 // The engine found fault with the request itself; its own words say more
 // than any of the router's.
-void relay::answer_failed(exchange& held)
+void relay::send_upstream_error(exchange& active)
 {
-    reply_metadata const facts{held.request.id, model::outcome::unknown};
-    if (held.caller && !held.begun) {
-        held.caller->whole(
-            {held.status, held.answer_type, held.collected, facts});
-    } else if (held.caller) {
-        held.caller->events(closing_events(facts.outcome));
-        held.caller->end(facts.outcome);
+    reply_metadata const metadata{active.request.id, model::outcome::unknown};
+    if (active.caller && !active.answer_started) {
+        active.caller->complete({active.status,
+                                 active.answer_content_type,
+                                 active.collected,
+                                 metadata});
+    } else if (active.caller) {
+        active.caller->events(closing_events(metadata.outcome));
+        active.caller->end(metadata.outcome);
     }
-    finish(held, facts.outcome, "upstream_refused_request");
+    finish(active, metadata.outcome, "upstream_refused_request");
 }
 
 // The process may have slept since the claim was confirmed, and another host
@@ -242,15 +250,15 @@
         start_attempt(booking.to);
         return;
     }
-    decide::refuse no;
-    no.id = booking.to.id;
-    no.kind = model::error_kind::unavailable;
-    no.retry_after = late_booking_retry;
-    no.reason = "claim_too_old";
-    no.remedy = "send it again with the same Idempotency-Key";
-    tell(decide::attempt_ended{
-        no.id, booking.to.upstream, decide::attempt_end::cancelled, 0, 0});
-    refuse(no);
+    decide::refuse refusal;
+    refusal.id = booking.to.id;
+    refusal.kind = model::error_kind::unavailable;
+    refusal.retry_after = expired_claim_retry_after;
+    refusal.reason = "claim_too_old";
+    refusal.remedy = "send it again with the same Idempotency-Key";
+    report_event(decide::attempt_ended{
+        refusal.id, booking.to.upstream, decide::attempt_end::cancelled, 0, 0});
+    refuse(refusal);
 }
 
 } // namespace caperjunction::net
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void send_at_once(evhttp_connection* connection)
+void set_no_delay(evhttp_connection* connection)
 {
     int const on = 1;
     setsockopt(socket_of(connection), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -33,7 +33,7 @@
            == 0;
 }
 
-void write_now(evhttp_request* request)
+void flush_output(evhttp_request* request)
 {
     evhttp_connection* const connection =
         evhttp_request_get_connection(request);
--- a/src/net/sockets.hpp
+++ b/src/net/sockets.hpp
@@ -10,7 +10,7 @@
 
 /// Turns off the delay by which TCP gathers small writes: with it, a token
 /// may wait some 40 ms for an acknowledgement, a whole target between tokens.
-void send_at_once(evhttp_connection* connection);
+void set_no_delay(evhttp_connection* connection);
 
 /// Whether the connection has come about.
 bool is_connected(evhttp_connection* connection);
@@ -18,7 +18,7 @@
 /// Writes what can be written of an answer right now, without waiting for
 /// the loop to find the socket writable: one call of the system for a token
 /// in place of four.
-void write_now(evhttp_request* request);
+void flush_output(evhttp_request* request);
 
 /// Bytes of an answer that wait for its receiver.
 std::size_t unsent_bytes(evhttp_request* request);
--- a/src/net/sse_scanner.cpp
+++ b/src/net/sse_scanner.cpp
@@ -26,11 +26,11 @@
 /// inside a JSON text are escaped, so that output can't imitate a field.
 bool has_text(std::string_view event, std::string_view field)
 {
-    std::size_t const place = event.find(field);
-    if (place == std::string_view::npos) {
+    std::size_t const position = event.find(field);
+    if (position == std::string_view::npos) {
         return false;
     }
-    std::size_t const value = place + field.size();
+    std::size_t const value = position + field.size();
     std::size_t const quote =
         value < event.size() && event[value] == ' ' ? value + 1 : value;
     return quote + 1 < event.size() && event[quote] == '"'
@@ -51,9 +51,9 @@
 
 } // namespace
 
-void sse_scanner::take_event(std::string_view event,
-                             std::string& events,
-                             sse_scan_result& found)
+void sse_scanner::handle_event(std::string_view event,
+                               std::string& events,
+                               sse_scan_result& found)
 {
     if (is_done(event)) {
         found.done = true;
@@ -69,16 +69,17 @@
 {
     sse_scan_result found;
     // The usual case has nothing left over and copies each event once.
-    bool const whole = m_partial.empty();
-    if (!whole) {
+    bool const starts_clean = m_partial.empty();
+    if (!starts_clean) {
         m_partial.append(bytes);
     }
-    std::string_view const text = whole ? bytes : std::string_view(m_partial);
+    std::string_view const text =
+        starts_clean ? bytes : std::string_view(m_partial);
     std::size_t start = 0;
     for (std::size_t end = end_of_event(text, start);
          end != std::string_view::npos;
          end = end_of_event(text, start)) {
-        take_event(text.substr(start, end - start), events, found);
+        handle_event(text.substr(start, end - start), events, found);
         start = end;
     }
     std::string rest(text.substr(start));
--- a/src/net/sse_scanner.hpp
+++ b/src/net/sse_scanner.hpp
@@ -38,9 +38,9 @@
     sse_scan_result feed(std::string_view bytes, std::string& events);
 
 private:
-    void take_event(std::string_view event,
-                    std::string& events,
-                    sse_scan_result& found);
+    void handle_event(std::string_view event,
+                      std::string& events,
+                      sse_scan_result& found);
 
     std::string m_partial;
 };
--- a/src/net/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 // libevent's own limit would also cut long pauses that the sweep allows.
-constexpr int no_limit_s = 24 * 3600;
+constexpr int libevent_timeout_s = 24 * 3600;
 
 std::string key_of(model::endpoint const& to)
 {
@@ -63,8 +63,8 @@
         evhttp_connection_free(call->connection);
     }
     for (auto& [key, idle] : m_idle) {
-        for (idle_connection const& kept : idle) {
-            evhttp_connection_free(kept.connection);
+        for (idle_connection const& entry : idle) {
+            evhttp_connection_free(entry.connection);
         }
     }
     for (evhttp_connection* const connection : m_dropped) {
@@ -72,18 +72,19 @@
     }
 }
 
-evhttp_connection* upstream_client::take_connection(upstream_call const& call)
+evhttp_connection*
+upstream_client::acquire_connection(upstream_call const& call)
 {
     auto& idle = m_idle[key_of(call.to)];
     if (!call.needs_new_connection && !idle.empty()) {
-        evhttp_connection* const kept = idle.back().connection;
+        evhttp_connection* const entry = idle.back().connection;
         idle.pop_back();
-        return kept;
+        return entry;
     }
-    evhttp_connection* const made = evhttp_connection_base_new(
+    evhttp_connection* const created = evhttp_connection_base_new(
         m_loop.base(), nullptr, call.to.address.c_str(), call.to.port);
-    evhttp_connection_set_timeout(made, no_limit_s);
-    return made;
+    evhttp_connection_set_timeout(created, libevent_timeout_s);
+    return created;
 }
 
 call_handle upstream_client::start(upstream_call const& call, call_hooks hooks)
@@ -93,7 +94,7 @@
     running->handle = {++m_last_call};
     running->to = call.to;
     running->hooks = std::move(hooks);
-    running->connection = take_connection(call);
+    running->connection = acquire_connection(call);
     running->started = m_loop.now();
     running->progressed = running->started;
 
@@ -121,7 +122,7 @@
     m_calls.emplace(handle.value, std::move(running));
     evhttp_make_request(
         connection, request, method_of(call.method), call.path.c_str());
-    send_at_once(connection);
+    set_no_delay(connection);
     return handle;
 }
 
@@ -163,18 +164,18 @@
     });
 }
 
-void upstream_client::hold(call_handle handle, bool held)
+void upstream_client::set_paused(call_handle handle, bool paused)
 {
     auto const found = m_calls.find(handle.value);
-    if (found == m_calls.end() || found->second->held == held) {
+    if (found == m_calls.end() || found->second->paused == paused) {
         return;
     }
     running_call& call = *found->second;
-    call.held = held;
+    call.paused = paused;
     call.progressed = m_loop.now();
     bufferevent* const stream =
         evhttp_connection_get_bufferevent(call.connection);
-    if (held) {
+    if (paused) {
         bufferevent_disable(stream, EV_READ);
     } else {
         bufferevent_enable(stream, EV_READ);
@@ -214,9 +215,9 @@
     if (call.ended) {
         return;
     }
-    bool const whole =
+    bool const completed =
         request != nullptr && evhttp_request_get_response_code(request) != 0;
-    if (whole) {
+    if (completed) {
         call.owner->finish(call, call_end::complete);
     } else if (request != nullptr && !call.failed && !call.answered) {
         call.owner->finish(call, call_end::unreachable);
@@ -227,24 +228,24 @@
 
 void upstream_client::finish(running_call& call, call_end end)
 {
-    auto const own = remove(call.handle);
-    if (own == nullptr) {
+    auto const owned = remove(call.handle);
+    if (owned == nullptr) {
         return;
     }
     if (end == call_end::complete) {
-        keep_connection(*own);
+        release_connection(*owned);
     } else {
-        drop(own->connection);
+        drop(owned->connection);
     }
-    if (own->hooks.done) {
-        own->hooks.done(end);
+    if (owned->hooks.done) {
+        owned->hooks.done(end);
     }
 }
 
-void upstream_client::keep_connection(running_call& call)
+void upstream_client::release_connection(running_call& call)
 {
     auto& idle = m_idle[key_of(call.to)];
-    if (idle.size() >= max_idle) {
+    if (idle.size() >= max_idle_connections) {
         drop(call.connection);
         return;
     }
@@ -261,7 +262,7 @@
     if (!call.answered) {
         return now - call.started > m_timeouts.first_byte;
     }
-    return !call.held && now - call.progressed > m_timeouts.progress;
+    return !call.paused && now - call.progressed > m_timeouts.progress;
 }
 
 void upstream_client::sweep()
@@ -285,14 +286,14 @@
     for (auto& [key, idle] : m_idle) {
         // The oldest stand first: the newest is taken first and comes back
         // to the end.
-        auto const young = std::find_if(
-            idle.begin(), idle.end(), [now](idle_connection const& kept) {
-                return now - kept.since <= max_idle_time;
+        auto const first_recent = std::find_if(
+            idle.begin(), idle.end(), [now](idle_connection const& entry) {
+                return now - entry.since <= max_idle_time;
             });
-        for (auto old = idle.begin(); old != young; ++old) {
+        for (auto old = idle.begin(); old != first_recent; ++old) {
             drop(old->connection);
         }
-        idle.erase(idle.begin(), young);
+        idle.erase(idle.begin(), first_recent);
     }
 }
 
--- a/src/net/upstream_client.hpp
+++ b/src/net/upstream_client.hpp
@@ -38,7 +38,7 @@
 {
 public:
     /// Idle connections kept for each upstream.
-    static constexpr std::size_t max_idle = 64;
+    static constexpr std::size_t max_idle_connections = 64;
     /// Shorter than the idle limit of common servers and middleboxes.
     static constexpr model::milliseconds max_idle_time{8'000};
     /// How often time limits are looked at.
@@ -56,7 +56,7 @@
 
     /// Stops or goes on reading an answer whose receiver is slow. A call
     /// that is held back on purpose doesn't count as silent.
-    void hold(call_handle call, bool held);
+    void set_paused(call_handle call, bool paused);
 
     std::size_t running() const
     {
@@ -76,7 +76,7 @@
         bool connected = false;
         bool answered = false;
         bool failed = false;
-        bool held = false;
+        bool paused = false;
         /// Its owner has been told, or wants to hear no more.
         bool ended = false;
     };
@@ -87,8 +87,8 @@
         model::time_point since{};
     };
 
-    evhttp_connection* take_connection(upstream_call const& call);
-    void keep_connection(running_call& call);
+    evhttp_connection* acquire_connection(upstream_call const& call);
+    void release_connection(running_call& call);
     void finish(running_call& call, call_end end);
     void drop(evhttp_connection* connection);
     void sweep();
--- a/tests/fuzz/caller_request.cpp
+++ b/tests/fuzz/caller_request.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint32_t output_bound = 4096;
 
-void read_as(net::text_interface interface, std::string_view body)
+void check_request(net::text_interface interface, std::string_view body)
 {
     net::caller_request request;
     try {
@@ -42,7 +42,7 @@
                                       std::size_t size)
 {
     std::string_view const text(reinterpret_cast<char const*>(data), size);
-    read_as(net::text_interface::chat, text);
-    read_as(net::text_interface::completion, text);
+    check_request(net::text_interface::chat, text);
+    check_request(net::text_interface::completion, text);
     return 0;
 }
--- a/tests/fuzz/peer_frame.cpp
+++ b/tests/fuzz/peer_frame.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-std::string without_length(std::string const& framed)
+std::string remove_length_prefix(std::string const& framed)
 {
     return framed.substr(net::frame_prefix_bytes);
 }
@@ -32,7 +32,7 @@
 void add_samples(std::vector<std::string>& samples,
                  std::index_sequence<Places...> /*places*/)
 {
-    (samples.push_back(without_length(
+    (samples.push_back(remove_length_prefix(
          net::encode(Variant(std::variant_alternative_t<Places, Variant>{})))),
      ...);
 }
@@ -56,9 +56,9 @@
 std::string make_frame(std::uint8_t const* data, std::size_t size)
 {
     static auto const s_samples = make_samples();
-    constexpr std::uint8_t as_it_is = 255;
+    constexpr std::uint8_t raw_input = 255;
     constexpr std::size_t edit_bytes = 2;
-    if (data[0] == as_it_is) {
+    if (data[0] == raw_input) {
         return {reinterpret_cast<char const*>(data) + 1, size - 1};
     }
     std::string frame = s_samples[data[0] % s_samples.size()];
@@ -83,8 +83,8 @@
     } catch (model::error const&) {
         return 0;
     }
-    std::string const once = without_length(net::encode(frame));
-    std::string const twice = without_length(net::encode(decode(once)));
+    std::string const once = remove_length_prefix(net::encode(frame));
+    std::string const twice = remove_length_prefix(net::encode(decode(once)));
     if (once != twice) {
         std::abort();
     }
--- a/tests/fuzz/sse_stream.cpp
+++ b/tests/fuzz/sse_stream.cpp
@@ -45,14 +45,14 @@
     if (stream.empty()) {
         return 0;
     }
-    outcome const whole = scan(stream, stream.size());
-    bool const same =
-        whole == scan(stream, 1) && whole.events.size() <= stream.size();
+    outcome const single_read = scan(stream, stream.size());
+    bool const same = single_read == scan(stream, 1)
+                      && single_read.events.size() <= stream.size();
     if (!same) {
         std::abort();
     }
     net::answer_assembler assembler;
-    if (assembler.add(whole.events)) {
+    if (assembler.add(single_read.events)) {
         assembler.finish();
     }
     return 0;
--- a/tests/net/hand_over_test.cpp
+++ b/tests/net/hand_over_test.cpp
@@ -30,28 +30,28 @@
 
 /// Two relays that pass hand-overs to each other: the first hands all over,
 /// the second does what `serve` says.
-class two_hosts
+class relay_pair
 {
 public:
-    two_hosts()
+    relay_pair()
         : m_client(loop, {})
         , engine(loop.base(), engine_settings())
     {
-        for (std::size_t place = 0; place < 2; ++place) {
-            relay_host& own = m_hosts[place];
-            own.name = fmt::format("host-{}", place);
+        for (std::size_t index = 0; index < 2; ++index) {
+            relay_host& own = m_hosts[index];
+            own.name = fmt::format("host-{}", index);
             own.relay = std::make_unique<net::relay>(
-                loop, net::relay_settings{}, [this, place](auto& report) {
-                    loop.defer([this, place, report] {
-                        take(place, report);
+                loop, net::relay_settings{}, [this, index](auto& report) {
+                    loop.defer([this, index, report] {
+                        forward_report(index, report);
                     });
                     return true;
                 });
             model::upstream_list listed;
             listed.engines.push_back(
                 {"engine-0", "west", "west-a", engine.address(), {}});
-            tell(place, net::use_upstreams{listed});
-            tell(place, net::use_lists{catalogue()});
+            send_message(index, net::use_upstreams{listed});
+            send_message(index, net::use_lists{catalogue()});
         }
     }
 
@@ -92,21 +92,21 @@
     bool run_until(std::function<bool()> const& done)
     {
         return stand_ins::run_until(loop, [this, &done] {
-            if (on_turn) {
-                on_turn();
+            if (on_iteration) {
+                on_iteration();
             }
             return done();
         });
     }
 
-    void tell(std::size_t place, net::relay_message message)
+    void send_message(std::size_t index, net::relay_message message)
     {
-        m_hosts[place].relay->handle(message);
+        m_hosts[index].relay->handle(message);
     }
 
-    std::size_t running(std::size_t place) const
+    std::size_t running(std::size_t index) const
     {
-        return m_hosts[place].relay->running();
+        return m_hosts[index].relay->running();
     }
 
     runtime::event_loop loop;
@@ -122,7 +122,7 @@
     int status = 0;
     std::string body;
     std::vector<decide::hand_over_refused> refused;
-    std::function<void()> on_turn;
+    std::function<void()> on_iteration;
 
 private:
     static stand_ins::engine_settings engine_settings()
@@ -144,53 +144,55 @@
             std::move(plans), std::move(entitlements));
     }
 
-    void take(std::size_t place, net::relay_report const& report)
+    void forward_report(std::size_t index, net::relay_report const& report)
     {
-        std::size_t const other = 1 - place;
-        std::string const& name = m_hosts[place].name;
-        if (auto const* give = std::get_if<net::hand_over_requested>(&report)) {
-            tell(other, net::serve_handed_over{name, give->request});
+        std::size_t const other = 1 - index;
+        std::string const& name = m_hosts[index].name;
+        if (auto const* requested =
+                std::get_if<net::hand_over_requested>(&report)) {
+            send_message(other,
+                         net::serve_handed_over{name, requested->request});
         } else if (auto const* part =
                        std::get_if<net::hand_over_chunk_ready>(&report)) {
-            tell(other, net::receive_chunk{name, part->chunk});
-        } else if (auto const* over =
+            send_message(other, net::receive_chunk{name, part->chunk});
+        } else if (auto const* ended_answer =
                        std::get_if<net::hand_over_ended>(&report)) {
-            tell(other, net::receive_end{name, over->end});
-        } else if (auto const* no =
+            send_message(other, net::receive_end{name, ended_answer->end});
+        } else if (auto const* cancelled =
                        std::get_if<net::hand_over_cancelled>(&report)) {
-            tell(other, net::cancel_handed_over{name, no->id});
+            send_message(other, net::cancel_handed_over{name, cancelled->id});
         } else if (auto const* event = std::get_if<decide::event>(&report)) {
-            decide_on(place, *event);
+            decide_on(index, *event);
         }
     }
 
-    void decide_on(std::size_t place, decide::event const& event)
+    void decide_on(std::size_t index, decide::event const& event)
     {
         auto const* arrived = std::get_if<decide::request_arrived>(&event);
-        auto const* no = std::get_if<decide::hand_over_refused>(&event);
-        if (arrived != nullptr && place == 0) {
-            tell(0,
-                 decide::decision(
-                     decide::hand_over{arrived->request.id, "host-1", "test"}));
+        auto const* refusal = std::get_if<decide::hand_over_refused>(&event);
+        if (arrived != nullptr && index == 0) {
+            send_message(0,
+                         decide::decision(decide::hand_over{
+                             arrived->request.id, "host-1", "test"}));
         } else if (arrived != nullptr && serve) {
             CHECK(arrived->request.handed_over);
             decide::dispatch to;
             to.id = arrived->request.id;
             to.upstream = "engine-0";
-            tell(1, decide::decision(to));
+            send_message(1, decide::decision(to));
         } else if (arrived != nullptr) {
             decide::refuse refuse;
             refuse.id = arrived->request.id;
             refuse.reason = "queue_full";
             refuse.remedy = "send it again later";
-            tell(1, decide::decision(refuse));
-        } else if (no != nullptr) {
-            refused.push_back(*no);
+            send_message(1, decide::decision(refuse));
+        } else if (refusal != nullptr) {
+            refused.push_back(*refusal);
             decide::refuse refuse;
-            refuse.id = no->id;
+            refuse.id = refusal->id;
             refuse.reason = "queue_full";
             refuse.remedy = "send it again later";
-            tell(0, decide::decision(refuse));
+            send_message(0, decide::decision(refuse));
         }
     }
 
@@ -198,7 +200,7 @@
     net::call_handle m_call;
 };
 
-bool is_whole(std::string const& body)
+bool is_complete(std::string const& body)
 {
     return body.find("data: [DONE]") != std::string::npos;
 }
@@ -206,9 +208,9 @@
 std::size_t tokens_in(std::string const& body)
 {
     std::size_t count = 0;
-    for (std::size_t place = body.find("\"content\":");
-         place != std::string::npos;
-         place = body.find("\"content\":", place + 1)) {
+    for (std::size_t index = body.find("\"content\":");
+         index != std::string::npos;
+         index = body.find("\"content\":", index + 1)) {
         ++count;
     }
     return count;
@@ -218,13 +220,13 @@
 
 TEST_CASE("an answer of another host reaches the caller whole")
 {
-    two_hosts hosts;
-    std::string const body = hosts.chat(30);
-    CHECK(hosts.status == 200);
-    CHECK(is_whole(body));
+    relay_pair pair;
+    std::string const body = pair.chat(30);
+    CHECK(pair.status == 200);
+    CHECK(is_complete(body));
     CHECK(tokens_in(body) == 30);
-    CHECK(hosts.run_until([&] {
-        return hosts.running(0) == 0 && hosts.running(1) == 0;
+    CHECK(pair.run_until([&] {
+        return pair.running(0) == 0 && pair.running(1) == 0;
     }));
 }
 
@@ -232,32 +234,32 @@
 // caller must hear from its own host; nothing of its request has run.
 TEST_CASE("a hand-over that is refused comes back to its host")
 {
-    two_hosts hosts;
-    hosts.serve = false;
-    std::string const body = hosts.chat(30);
-    CHECK(hosts.refused.size() == 1);
-    CHECK(hosts.status == 429);
+    relay_pair pair;
+    pair.serve = false;
+    std::string const body = pair.chat(30);
+    CHECK(pair.refused.size() == 1);
+    CHECK(pair.status == 429);
     CHECK(body.find("not-run") != std::string::npos);
-    CHECK(hosts.running(0) == 0);
-    CHECK(hosts.running(1) == 0);
+    CHECK(pair.running(0) == 0);
+    CHECK(pair.running(1) == 0);
 }
 
 // The host that serves dies in mid-answer. The caller has part of it; that
 // part must not pass for the whole, and the caller must not wait for ever.
 TEST_CASE("the loss of the serving host ends the answer with an error")
 {
-    two_hosts hosts;
+    relay_pair pair;
     bool lost = false;
-    hosts.on_turn = [&] {
-        if (!lost && tokens_in(hosts.body) >= 5) {
+    pair.on_iteration = [&] {
+        if (!lost && tokens_in(pair.body) >= 5) {
             lost = true;
-            hosts.tell(0, net::drop_host{"host-1"});
+            pair.send_message(0, net::drop_host{"host-1"});
         }
     };
-    std::string const body = hosts.chat(200);
+    std::string const body = pair.chat(200);
     CHECK(lost);
-    CHECK(hosts.ended);
-    CHECK_FALSE(is_whole(body));
+    CHECK(pair.ended);
+    CHECK_FALSE(is_complete(body));
     CHECK(body.find("serving_host_lost") != std::string::npos);
 }
 
@@ -265,19 +267,19 @@
 // it, would go on with work that nobody wants.
 TEST_CASE("a caller that hangs up cancels at the host that serves it")
 {
-    two_hosts hosts;
-    bool gone = false;
-    hosts.on_turn = [&] {
-        if (!gone && tokens_in(hosts.body) >= 3) {
-            gone = true;
-            hosts.ended = true;
-            hosts.hang_up();
+    relay_pair pair;
+    bool disconnected = false;
+    pair.on_iteration = [&] {
+        if (!disconnected && tokens_in(pair.body) >= 3) {
+            disconnected = true;
+            pair.ended = true;
+            pair.hang_up();
         }
     };
-    hosts.chat(1000);
-    CHECK(hosts.run_until([&] {
-        return hosts.engine.counters().cancelled == 1;
+    pair.chat(1000);
+    CHECK(pair.run_until([&] {
+        return pair.engine.counters().cancelled == 1;
     }));
-    CHECK(hosts.running(0) == 0);
-    CHECK(hosts.running(1) == 0);
+    CHECK(pair.running(0) == 0);
+    CHECK(pair.running(1) == 0);
 }
--- a/tests/net/peer_codec_test.cpp
+++ b/tests/net/peer_codec_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-peer_frame read_back(std::string const& bytes)
+peer_frame decode_framed(std::string const& bytes)
 {
     std::vector<std::uint8_t> const frame(
         bytes.begin() + net::frame_prefix_bytes, bytes.end());
@@ -26,7 +26,7 @@
 std::vector<peer_frame> one_of_each()
 {
     using namespace fleet;
-    config_announce const told{{{1, 2, 3, 4}}, {{5, 6, 7, 8}}};
+    config_announce const announce{{{1, 2, 3, 4}}, {{5, 6, 7, 8}}};
     membership_update const update{"otaru-1", 9, 2, update_kind::leaving};
     auto const body = std::make_shared<std::string const>("{}");
     std::vector<header_field> const fields{{"host", "a"}, {"x", ""}};
@@ -44,11 +44,11 @@
         net::peer_welcome{{6}},
         net::peer_ping{7},
         net::peer_pong{8},
-        peer_message(heartbeat{9, true, true, 10, told}),
+        peer_message(heartbeat{9, true, true, 10, announce}),
         peer_message(membership_updates{{update, update}}),
         peer_message(probe{11}),
-        peer_message(probe_reply{12, 13, true, told, {update}}),
-        peer_message(told),
+        peer_message(probe_reply{12, 13, true, announce, {update}}),
+        peer_message(announce),
         peer_message(config_fetch{published_value::hosts, 14, 15}),
         peer_message(
             config_value{published_value::upstreams, 16, 17, 0, body, {}}),
@@ -88,7 +88,7 @@
 {
     for (peer_frame const& frame : one_of_each()) {
         std::string const bytes = net::encode(frame);
-        peer_frame const read = read_back(bytes);
+        peer_frame const read = decode_framed(bytes);
         CHECK(read.index() == frame.index());
         CHECK(net::encode(read) == bytes);
     }
@@ -97,12 +97,12 @@
 TEST_CASE("values that a frame can hold are compared field by field")
 {
     auto const frames = one_of_each();
-    auto const beat = read_back(net::encode(frames[5]));
+    auto const beat = decode_framed(net::encode(frames[5]));
     auto const& message = std::get<fleet::peer_message>(beat);
     CHECK(std::get<fleet::heartbeat>(message)
           == std::get<fleet::heartbeat>(
               std::get<fleet::peer_message>(frames[5])));
-    auto const value = read_back(net::encode(frames[12]));
+    auto const value = decode_framed(net::encode(frames[12]));
     auto const& read =
         std::get<fleet::config_value>(std::get<fleet::peer_message>(value));
     CHECK(read.body == nullptr);
@@ -120,8 +120,8 @@
     sent.vote = true;
     sent.vote_origin = 77;
     sent.voters = 5;
-    auto const reply =
-        read_back(net::encode(fleet::peer_message(fleet::claim_message(sent))));
+    auto const reply = decode_framed(
+        net::encode(fleet::peer_message(fleet::claim_message(sent))));
     auto const& read = std::get<fleet::claim_reply>(
         std::get<fleet::claim_message>(std::get<fleet::peer_message>(reply)));
     // Naming all fields ends the build when there is one more.
@@ -150,13 +150,13 @@
 
     fleet::claim_transfer given;
     given.votes = {{1, 2, 3}};
-    auto const transfer = read_back(
+    auto const transfer = decode_framed(
         net::encode(fleet::peer_message(fleet::claim_message(given))));
-    auto const& taken =
+    auto const& read_transfer =
         std::get<fleet::claim_transfer>(std::get<fleet::claim_message>(
             std::get<fleet::peer_message>(transfer)));
-    REQUIRE(taken.votes.size() == 1);
-    auto const& [bucket, count, vote_origin] = taken.votes[0];
+    REQUIRE(read_transfer.votes.size() == 1);
+    auto const& [bucket, count, vote_origin] = read_transfer.votes[0];
     CHECK(bucket == 1);
     CHECK(count == 2);
     CHECK(vote_origin == 3);
@@ -168,7 +168,7 @@
     beat.generation = 1;
     beat.configuration = {{{1, 2, 3, 4}}, {{1, 2, 3, 4}}};
     auto const bytes = net::encode(fleet::peer_message(beat));
-    auto const read = read_back(bytes);
+    auto const read = decode_framed(bytes);
     CHECK(std::get<fleet::heartbeat>(std::get<fleet::peer_message>(read))
           == beat);
     beat.configuration.in_force.of[0] = 0;
@@ -182,8 +182,8 @@
     // outside of the buffer and end the process with all its requests.
     auto const frames = one_of_each();
     CHECK(rc::check("damaged frames never read outside", [&] {
-        auto const place = *rc::gen::inRange<std::size_t>(0, frames.size());
-        std::string bytes = net::encode(frames[place]);
+        auto const index = *rc::gen::inRange<std::size_t>(0, frames.size());
+        std::string bytes = net::encode(frames[index]);
         auto const damages = *rc::gen::inRange(1, 6);
         for (int each = 0; each < damages; ++each) {
             auto const at = *rc::gen::inRange<std::size_t>(
@@ -194,7 +194,7 @@
             net::frame_prefix_bytes, bytes.size() + 1);
         bytes.resize(keep);
         try {
-            read_back(bytes);
+            decode_framed(bytes);
         } catch (model::error const& error) {
             RC_ASSERT(error.kind() == model::error_kind::bad_request);
             RC_ASSERT(!error.remedy().empty());
@@ -210,5 +210,5 @@
     fetch.value = static_cast<fleet::published_value>(4);
     fetch.wanted = 1;
     auto const bytes = net::encode(fleet::peer_message(fetch));
-    CHECK_THROWS_AS(read_back(bytes), model::error);
+    CHECK_THROWS_AS(decode_framed(bytes), model::error);
 }
--- a/tests/net/peer_link_test.cpp
+++ b/tests/net/peer_link_test.cpp
@@ -66,16 +66,16 @@
 struct fixture
 {
     /// Lets real socket events happen until `done`; false if they don't.
-    bool until(std::function<bool()> const& done)
+    bool run_until(std::function<bool()> const& done)
     {
-        constexpr int most_polls = 20'000;
-        for (int poll = 0; poll < most_polls && !done(); ++poll) {
+        constexpr int max_polls = 20'000;
+        for (int poll = 0; poll < max_polls && !done(); ++poll) {
             loop.poll();
         }
         return done();
     }
 
-    void pass(model::milliseconds time)
+    void advance(model::milliseconds time)
     {
         for (auto passed = 0ms; passed < time; passed += 100ms) {
             clock.advance(100ms);
@@ -89,7 +89,7 @@
     runtime::event_loop loop{clock.as_clock()};
 };
 
-void introduce(std::vector<peer*> const& peers)
+void exchange_host_lists(std::vector<peer*> const& peers)
 {
     std::vector<model::host> hosts;
     hosts.reserve(peers.size());
@@ -101,7 +101,7 @@
     }
 }
 
-fleet::load_digest numbered(std::uint64_t number)
+fleet::load_digest make_digest(std::uint64_t number)
 {
     return {"a", number, 0, {1, 2, 3}};
 }
@@ -113,18 +113,18 @@
     fixture net;
     peer left(net.loop, "a");
     peer right(net.loop, "b");
-    introduce({&left, &right});
+    exchange_host_lists({&left, &right});
     for (std::uint64_t number = 1; number <= 100; ++number) {
-        CHECK(left.link->send("b", numbered(number)));
+        CHECK(left.link->send("b", make_digest(number)));
     }
     CHECK(right.link->send("a", fleet::probe{7}));
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right.received.size() == 100 && left.received.size() == 1;
     }));
-    for (std::size_t place = 0; place < 100; ++place) {
-        CHECK(right.received[place].first == "a");
-        CHECK(std::get<fleet::load_digest>(right.received[place].second)
-              == numbered(place + 1));
+    for (std::size_t index = 0; index < 100; ++index) {
+        CHECK(right.received[index].first == "a");
+        CHECK(std::get<fleet::load_digest>(right.received[index].second)
+              == make_digest(index + 1));
     }
 }
 
@@ -133,11 +133,11 @@
     fixture net;
     peer left(net.loop, "a");
     peer right(net.loop, "b");
-    introduce({&left, &right});
+    exchange_host_lists({&left, &right});
     fleet::hand_over_request request;
     request.body = std::string(8'000'000, 'x');
     CHECK(left.link->send("b", request));
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right.received.size() == 1;
     }));
     auto const& read =
@@ -152,12 +152,12 @@
     fixture net;
     peer left(net.loop, "a");
     peer right(net.loop, "b", "another secret of many bytes");
-    introduce({&left, &right});
+    exchange_host_lists({&left, &right});
     left.link->send("b", fleet::probe{1});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right.link->counters().refused_handshakes == 1;
     }));
-    net.pass(3s);
+    net.advance(3s);
     CHECK(right.received.empty());
     CHECK(left.connected.empty());
     CHECK(right.failed.at(0) == model::error_kind::unauthenticated);
@@ -173,7 +173,7 @@
     left.link->set_hosts({left.host, right.host});
     right.link->set_hosts({right.host});
     left.link->send("b", fleet::probe{1});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right.link->counters().refused_handshakes == 1;
     }));
     CHECK(right.received.empty());
@@ -185,13 +185,13 @@
     fixture net;
     peer left(net.loop, "a");
     peer right(net.loop, "b");
-    introduce({&left, &right});
+    exchange_host_lists({&left, &right});
     left.link->send("b", fleet::probe{1});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right.received.size() == 1;
     }));
     right.link->set_hosts({right.host});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return !left.link->is_connected("b");
     }));
     left.link->set_hosts({left.host});
@@ -215,21 +215,21 @@
         far.loop.poll();
         return left.connected.size() == 1;
     };
-    REQUIRE(net.until(both));
+    REQUIRE(net.run_until(both));
     for (int step = 0; step < 29; ++step) {
-        net.pass(100ms);
+        net.advance(100ms);
     }
     CHECK(left.link->counters().silent_connections == 0);
-    net.pass(500ms);
+    net.advance(500ms);
     CHECK(left.link->counters().silent_connections == 1);
     // The far end works again before the fresh connection's time is over.
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         far.loop.poll();
         return left.connected.size() == 2;
     }));
     CHECK(left.disconnected.empty());
     left.link->send("b", fleet::probe{5});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         far.loop.poll();
         return !right->received.empty();
     }));
@@ -246,13 +246,13 @@
     left.link->set_hosts({left.host, right.host});
     right.link->set_hosts({left.host, right.host});
     left.link->set_persistent_peers({"b"});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         far.loop.poll();
         return left.connected.size() == 1;
     }));
-    net.pass(4s);
+    net.advance(4s);
     CHECK(left.disconnected.empty());
-    net.pass(3s);
+    net.advance(3s);
     CHECK(left.disconnected == std::vector<std::string>{"b"});
 }
 
@@ -262,17 +262,17 @@
     fixture net;
     peer left(net.loop, "a");
     auto right = std::make_unique<peer>(net.loop, "b");
-    introduce({&left, right.get()});
+    exchange_host_lists({&left, right.get()});
     left.link->set_persistent_peers({"b"});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return left.connected.size() == 1;
     }));
     right = std::make_unique<peer>(net.loop, "b");
-    introduce({&left, right.get()});
-    net.pass(2s);
+    exchange_host_lists({&left, right.get()});
+    net.advance(2s);
     CHECK(left.link->is_connected("b"));
     left.link->send("b", fleet::probe{6});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right->received.size() == 1;
     }));
 }
@@ -288,7 +288,7 @@
     left.link->set_hosts({left.host, right.host});
     right.link->set_hosts({left.host, right.host});
     left.link->set_persistent_peers({"b"});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         far.loop.poll();
         return left.connected.size() == 1;
     }));
@@ -315,7 +315,7 @@
          {std::string("GET / HTTP/1.1\r\n\r\n"),
           std::string("\x04\x00\x00\x00\xff\xff\xff\xff", 8),
           net::encode(fleet::peer_message(fleet::probe{1}))}) {
-        auto const stranger = std::make_shared<net::peer_connection>(
+        auto const client = std::make_shared<net::peer_connection>(
             bufferevent_socket_new(net.loop.base(), -1, BEV_OPT_CLOSE_ON_FREE),
             counters);
         bool ended = false;
@@ -324,10 +324,10 @@
         calls.ended = [&](model::error const*) {
             ended = true;
         };
-        stranger->open(calls);
-        REQUIRE(stranger->connect(right.host.peers));
-        stranger->send(bytes);
-        CHECK(net.until([&] {
+        client->open(calls);
+        REQUIRE(client->connect(right.host.peers));
+        client->send(bytes);
+        CHECK(net.run_until([&] {
             return ended;
         }));
     }
