--- a/src/net/admin_server.hpp
+++ b/src/net/admin_server.hpp
@@ -14,7 +14,7 @@
 
 namespace caperjunction::net {
 
-/// An answer of the admin address.
+/// Response of the admin server.
 struct admin_answer
 {
     int status = 200;
@@ -22,16 +22,16 @@
     std::string body;
 };
 
-/// Serves operators: liveness, readiness, metrics, status, explain.
+/// HTTP server for operators: liveness, readiness, metrics, status, explain.
 ///
 /// Thread safety: none; owned by one task.
 class admin_server
 {
 public:
-    /// Gives the answer for the value of the query's `id` (may be empty).
+    /// Returns the answer; `id` is the query parameter (empty if absent).
     using route = std::function<admin_answer(std::string const& id)>;
 
-    /// \throws model::error (bad_settings) if the address is not to be had.
+    /// \throws model::error (bad_settings) if the address cannot be bound.
     admin_server(runtime::event_loop& loop, model::endpoint const& listen);
     ~admin_server();
     admin_server(admin_server const&) = delete;
--- a/src/net/answer_assembler.cpp
+++ b/src/net/answer_assembler.cpp
@@ -10,7 +10,8 @@
 
 using json = nlohmann::json;
 
-// Texts that are told once, not piece by piece.
+// Text fields that are sent complete, so that later values replace earlier
+// ones instead of being appended.
 constexpr std::array<std::string_view, 8> unsplit_fields{"id",
                                                          "object",
                                                          "model",
@@ -34,7 +35,7 @@
 
 void merge(json& into, json const& from);
 
-// Entries that carry an index are pieces of one entry; others are appended.
+// Entries with the same index are parts of one entry; others are appended.
 void merge_arrays(json& into, json const& from)
 {
     for (json const& item : from) {
@@ -83,7 +84,7 @@
     }
 }
 
-/// The text after `data:` of an event; empty for comments.
+/// Returns the text after `data:`; empty for SSE comments.
 std::string_view data_of(std::string_view event)
 {
     constexpr std::string_view field = "data:";
--- a/src/net/answer_assembler.hpp
+++ b/src/net/answer_assembler.hpp
@@ -7,10 +7,10 @@
 
 namespace caperjunction::net {
 
-/// Puts the events of an engine's stream together into the one JSON answer
-/// that a caller without streaming expects.
+/// Merges the events of an engine's stream into the single JSON answer that a
+/// caller without streaming expects.
 ///
-/// Thread safety: none; one for each request, over all its attempts.
+/// Thread safety: none; one per request, shared by all its attempts.
 class answer_assembler
 {
 public:
@@ -19,10 +19,10 @@
     answer_assembler(answer_assembler&&) noexcept;
     answer_assembler& operator=(answer_assembler&&) noexcept;
 
-    /// Takes whole events. False if one of them is not JSON.
+    /// Adds complete events. Returns false if one of them is not JSON.
     bool add(std::string_view events);
 
-    /// The whole answer as JSON text.
+    /// Returns the complete answer as JSON text.
     std::string finish() const;
 
 private:
--- a/src/net/caller_reply.hpp
+++ b/src/net/caller_reply.hpp
@@ -10,14 +10,14 @@
 
 namespace caperjunction::net {
 
-/// What every answer to a caller tells about its request.
+/// Request metadata that every answer to a caller carries.
 struct reply_metadata
 {
     model::request_id id;
     model::outcome outcome = model::outcome::not_run;
 };
 
-/// An error as a caller sees it.
+/// Error reply to a caller.
 struct error_reply
 {
     model::error_kind kind = model::error_kind::unavailable;
@@ -27,21 +27,22 @@
     model::milliseconds retry_after{0};
 };
 
-/// The HTTP status of a kind of error.
+/// Returns the HTTP status of an error kind.
 int status_of(model::error_kind kind);
 
-/// The id as it stands in headers and logs.
+/// Returns the id as written in headers and logs.
 std::string to_string(model::request_id id);
 
-/// The JSON body of an error, in the shape that OpenAI clients read.
+/// Returns the JSON body of an error in the format of the OpenAI API.
 std::string error_body(error_reply const& error,
                        reply_metadata const& metadata);
 
-/// The last events of an answer: its outcome as a comment, which clients
-/// skip, and for a whole answer the closing `[DONE]`.
+/// Returns the final events of an answer: the outcome as an SSE comment, which
+/// clients ignore, and the closing `[DONE]` if the answer is complete.
 std::string closing_events(model::outcome outcome);
 
-/// Rounded up: a caller that comes a moment early is refused again.
+/// Formats the time in seconds, rounded up: rounded down, a caller that obeys
+/// `Retry-After` returns too early and is refused again.
 std::string round_up_to_seconds(model::milliseconds time);
 
 } // namespace caperjunction::net
--- a/src/net/caller_request.cpp
+++ b/src/net/caller_request.cpp
@@ -14,9 +14,9 @@
 
 using json = nlohmann::json;
 
-// Nesting that no client library produces, but that costs stack to free.
+// Client libraries never nest deeper, and freeing nested values costs stack.
 constexpr int max_depth = 64;
-// A usual ratio for English text; only predictions rest on it.
+// Typical ratio for English text; used for predictions only.
 constexpr std::size_t characters_per_token = 4;
 
 [[noreturn]] void refuse(std::string const& message, std::string const& remedy)
--- a/src/net/caller_request.hpp
+++ b/src/net/caller_request.hpp
@@ -8,33 +8,33 @@
 
 namespace caperjunction::net {
 
-/// Which of the two text interfaces a caller uses.
+/// Text API that a caller uses.
 enum class text_interface : std::uint8_t
 {
     chat,
     completion,
 };
 
-/// A caller's text request, read from its JSON body.
+/// A caller's text request, parsed from its JSON body.
 struct caller_request
 {
     std::string model;
-    /// The caller wants events as they come, not one whole answer.
+    /// The caller requests a stream of events instead of one JSON answer.
     bool stream = false;
-    /// The caller's bound, or the class's where that is lower.
+    /// The lower of the caller's limit and the class's limit.
     std::uint32_t max_output_tokens = 0;
-    /// An estimate; engines count for themselves.
+    /// Estimate; engines count the exact number.
     std::uint32_t prompt_tokens = 0;
     std::vector<std::uint64_t> prefix_blocks;
-    /// Hash of the whole body: equal when the caller sends it again.
+    /// Hash of the whole body; identical resends have the same value.
     std::uint64_t fingerprint = 0;
-    /// What the engine is sent: the same request, always as a stream, so
-    /// that a broken attempt can be resumed where it ended.
+    /// Request body for the engine. Always requests a stream, so that a
+    /// broken attempt can be resumed at the token where it ended.
     std::string upstream_body;
 };
 
-/// Reads a body. `output_bound` is the class's bound on output tokens; the
-/// engine is told the lower of it and the caller's own.
+/// Parses a body. `output_bound` is the class's limit on output tokens; the
+/// engine receives the lower of it and the caller's limit.
 ///
 /// Thread safety: no shared state.
 /// \throws model::error (bad_request) that names the field and the remedy.
--- a/src/net/caller_server.cpp
+++ b/src/net/caller_server.cpp
@@ -17,8 +17,8 @@
 namespace caperjunction::net {
 namespace {
 
-// libevent answers a longer body by itself, with a page instead of JSON;
-// twice the limit lets this code answer whatever is a little too long.
+// libevent rejects a longer body with an HTML page instead of JSON. Twice the
+// limit lets this code answer bodies that are slightly too long.
 constexpr std::size_t body_limit_factor = 2;
 constexpr int allowed_methods = EVHTTP_REQ_GET | EVHTTP_REQ_POST
                                 | EVHTTP_REQ_PUT | EVHTTP_REQ_DELETE
@@ -142,16 +142,17 @@
                        "send it again in a second");
 }
 
-// libevent stops reading while an answer is due, and so misses that a caller
-// hangs up before its answer begins; the engine would go on with work that
-// nobody wants. Reading on makes the close callback fire.
+// libevent stops reading while an answer is due, so it does not detect a
+// caller that disconnects before the answer starts, and the engine continues
+// to generate an unwanted answer. Continued reading fires the close callback.
 void caller_server::watch_for_disconnect(evhttp_request* caller,
                                          model::request_id id)
 {
     evhttp_connection* const connection = evhttp_request_get_connection(caller);
     bufferevent* const stream = evhttp_connection_get_bufferevent(connection);
     timeval const limit = to_timeval(m_settings.caller_timeout);
-    // A caller that waits for its answer is silent by rights.
+    // A caller that waits for its answer sends nothing, so reads never time
+    // out.
     bufferevent_set_timeouts(stream, nullptr, &limit);
     begin_read_ahead(stream);
     connection_watch& created = m_watches[connection];
@@ -162,8 +163,9 @@
             connection_watch const seen = *static_cast<connection_watch*>(arg);
             seen.owner->m_watches.erase(closed);
             seen.owner->m_hooks.disconnected(seen.id);
-            // evhttp has cut an unanswered request loose and left it to its
-            // handler; kept, each hang-up would cost its whole body for good.
+            // evhttp detaches an unanswered request and leaves ownership to
+            // the handler. Without this, each disconnect leaks the request
+            // with its whole body.
             if (evhttp_request_get_connection(seen.caller) == nullptr) {
                 evhttp_request_free(seen.caller);
             }
--- a/src/net/caller_server.hpp
+++ b/src/net/caller_server.hpp
@@ -17,24 +17,24 @@
 
 namespace caperjunction::net {
 
-/// What the front tells its owner.
+/// Callbacks of `caller_server`.
 struct caller_server_hooks
 {
-    /// A request that may be served; the owner answers it. False: the host
-    /// takes no more now, and the front refuses it.
+    /// A request passed all checks; the owner answers it. Returns false if
+    /// the host is full; the server then refuses the request.
     std::function<bool(std::unique_ptr<exchange>)> arrived;
-    /// The caller of this request hung up; its `caller` is gone.
+    /// The caller of this request disconnected; its `caller` is invalid.
     std::function<void(model::request_id)> disconnected;
 };
 
-/// Serves callers: reads requests, checks key, plan and limits, and answers
-/// at once what needs no upstream.
+/// HTTP server for callers: parses requests, checks key, plan and limits, and
+/// answers requests that need no upstream immediately.
 ///
 /// Thread safety: none; owned by one task.
 class caller_server
 {
 public:
-    /// \throws model::error (bad_settings) if the address is not to be had.
+    /// \throws model::error (bad_settings) if the address cannot be bound.
     caller_server(runtime::event_loop& loop,
                   relay_settings const& settings,
                   caller_server_hooks hooks);
@@ -42,8 +42,8 @@
     caller_server(caller_server const&) = delete;
     caller_server& operator=(caller_server const&) = delete;
 
-    /// Null until the first lists have come: callers are asked to wait.
-    void use(std::shared_ptr<lists::catalogue const> catalogue)
+    /// Until the first call, callers receive 503 with `Retry-After`.
+    void set_catalogue(std::shared_ptr<lists::catalogue const> catalogue)
     {
         m_catalogue = std::move(catalogue);
     }
@@ -55,12 +55,12 @@
 
     void stop_accepting();
 
-    /// To be called before an answer's end is sent: the connection may go on
-    /// to the next request.
+    /// Stops watching the connection. Call before the end of an answer is
+    /// sent, because the connection then continues with its next request.
     void release(evhttp_request* caller);
 
 private:
-    /// What the close callback of a connection needs.
+    /// Context of the close callback of a connection.
     struct connection_watch
     {
         caller_server* owner = nullptr;
@@ -96,7 +96,7 @@
     evhttp_bound_socket* m_socket = nullptr;
     std::uint16_t m_port = 0;
     std::uint32_t m_last_id = 0;
-    // Of connections whose request is being served.
+    // Connections whose request is being served.
     std::unordered_map<evhttp_connection*, connection_watch> m_watches;
 };
 
--- a/src/net/caller_server_serve.cpp
+++ b/src/net/caller_server_serve.cpp
@@ -26,10 +26,10 @@
 lists::identity caller_server::authenticate(evhttp_request* caller) const
 {
     constexpr std::string_view scheme = "Bearer ";
-    std::string const given = header_of(caller, "Authorization");
+    std::string const authorization = header_of(caller, "Authorization");
     lists::identity identity;
-    if (given.rfind(scheme, 0) == 0) {
-        identity = m_catalogue->identify(given.substr(scheme.size()));
+    if (authorization.rfind(scheme, 0) == 0) {
+        identity = m_catalogue->identify(authorization.substr(scheme.size()));
     }
     if (identity.team == nullptr) {
         throw model::error(
--- a/src/net/caller_sink.hpp
+++ b/src/net/caller_sink.hpp
@@ -11,7 +11,7 @@
 
 namespace caperjunction::net {
 
-/// An answer in one piece.
+/// Answer that is sent in one piece.
 struct complete_answer
 {
     int status = 200;
@@ -22,9 +22,9 @@
     model::milliseconds retry_after{0};
 };
 
-/// Where an answer goes: to a caller's connection, or to the host that
-/// handed the request over. Either one `whole`, or `begin`, any number of
-/// `events`, and `end`.
+/// Destination of an answer: a caller's connection, or the host that handed
+/// the request over. The call sequence is either one `complete`, or `begin`,
+/// any number of `events`, and `end`.
 ///
 /// Thread safety: none; called by the task that owns the exchange.
 struct caller_sink
@@ -33,11 +33,11 @@
     std::function<void(model::request_id)> begin;
     std::function<void(std::string_view)> events;
     std::function<void(model::outcome)> end;
-    /// Bytes that wait for a slow receiver.
+    /// Returns the bytes buffered for a slow receiver.
     std::function<std::size_t()> unsent_bytes;
 };
 
-/// Answers with an error in JSON. \pre Nothing of the answer has been sent.
+/// Sends an error as JSON. \pre No part of the answer has been sent.
 void send_error(caller_sink const& sink,
                 error_reply const& error,
                 reply_metadata const& metadata);
--- a/src/net/engine_reader.cpp
+++ b/src/net/engine_reader.cpp
@@ -30,7 +30,7 @@
                : 0;
 }
 
-/// One call, while its answer comes in.
+/// Answer of a call in progress.
 struct pending_answer
 {
     int status = 0;
@@ -145,8 +145,8 @@
     reported.emit(report);
 }
 
-// Each event becomes a message of its own, so that a gap in the sequence is
-// seen where it is.
+// Emits one message per event, so that the receiver detects a gap in the
+// sequence at its exact position.
 void engine_reader::handle_cache_events(std::string const& name,
                                         std::string const& body)
 {
--- a/src/net/engine_reader.hpp
+++ b/src/net/engine_reader.hpp
@@ -16,15 +16,15 @@
 
 namespace caperjunction::net {
 
-/// Asks engines for their load and for what their prefix caches gained and
-/// lost, one engine after the other, at a bounded rate.
+/// Polls engines for their load and their prefix cache events, one engine
+/// after the other, at a bounded rate.
 ///
 /// Thread safety: none; owned by one task.
 class engine_reader
 {
 public:
-    /// Between two calls; with two calls an engine, twelve engines are each
-    /// heard every half a second.
+    /// Interval between two calls. Each engine takes two calls, so twelve
+    /// engines are each polled about every 0.5 s.
     static constexpr model::milliseconds call_period{20};
 
     explicit engine_reader(runtime::event_loop& loop);
--- a/src/net/exchange.hpp
+++ b/src/net/exchange.hpp
@@ -16,29 +16,29 @@
 
 namespace caperjunction::net {
 
-/// How an answer reaches the caller.
+/// Form in which an answer is sent to the caller.
 enum class reply_mode : std::uint8_t
 {
-    /// Events, passed on as they come.
+    /// Events, relayed as they arrive.
     events,
-    /// One JSON answer, put together from the engine's events.
+    /// One JSON answer, merged from the engine's events.
     assembled,
-    /// A plain service's answer, passed on when it is whole.
+    /// A service's answer, relayed once it is complete.
     collected,
 };
 
-/// One caller's request and its answer, over all attempts.
+/// A caller's request and its answer, over all attempts.
 struct exchange
 {
     decide::request request;
     reply_mode mode = reply_mode::events;
-    /// Empty once the caller has hung up.
+    /// Empty once the caller has disconnected.
     std::optional<caller_sink> caller;
-    /// The host that handed the request over; empty for a caller's own.
+    /// Host that handed the request over; empty if it came from a caller.
     std::string from_host;
-    /// The host that serves it instead of this one; else empty.
+    /// Host that serves the request instead of this one; otherwise empty.
     std::string to_host;
-    /// Some of the answer has been sent; no status can be chosen any more.
+    /// Part of the answer has been sent, so the status is final.
     bool answer_started = false;
 
     std::string method = "POST";
@@ -47,7 +47,7 @@
     std::string idempotency_key;
     std::string content_type = "application/json";
 
-    // The running attempt.
+    // Current attempt.
     call_handle call;
     std::string upstream;
     int status = 0;
@@ -60,10 +60,10 @@
     answer_assembler assembler;
     std::string collected;
     std::uint32_t relayed_tokens = 0;
-    /// Relayed, but not yet told to the decision logic.
+    /// Relayed, but not yet reported to the decision logic.
     std::uint32_t unreported_tokens = 0;
     bool first_token_reported = false;
-    /// When the first byte went to the caller.
+    /// Time at which the first byte was sent to the caller.
     model::time_point first_byte_at{};
 };
 
--- a/src/net/hand_over.hpp
+++ b/src/net/hand_over.hpp
@@ -9,13 +9,13 @@
 
 namespace caperjunction::net {
 
-/// The request of an exchange for another host. Who the caller is has been
-/// checked here; its key stays here.
+/// Converts the request of an exchange into a hand-over message. The caller
+/// was authenticated on this host; its API key is not sent.
 fleet::hand_over_request pack(exchange const& active, model::time_point now);
 
-/// An exchange for a request that another host handed over.
+/// Creates an exchange for a request that another host handed over.
 ///
-/// \throws model::error (bad_request) if it is not what `pack` makes.
+/// \throws model::error (bad_request) if it is not in the format of `pack`.
 std::unique_ptr<exchange> unpack(fleet::hand_over_request const& request,
                                  model::time_point now);
 
--- a/src/net/header.hpp
+++ b/src/net/header.hpp
@@ -5,7 +5,7 @@
 
 namespace caperjunction::net {
 
-/// One header of a request or an answer.
+/// HTTP header field.
 struct header
 {
     std::string name;
--- a/src/net/http_input.cpp
+++ b/src/net/http_input.cpp
@@ -158,8 +158,8 @@
                            "ask your operator for another plan");
     }
     lists::service_call const* const call = find_call(*service, created);
-    // A call that the list doesn't name might book something: the caller is
-    // asked for a key rather than the booking risked twice.
+    // A call that the list doesn't name may be a booking. Without an
+    // Idempotency-Key, a retry could execute it twice.
     created.request.repeatable = call != nullptr && call->repeatable;
     if (!created.request.repeatable) {
         check_key(created);
--- a/src/net/http_input.hpp
+++ b/src/net/http_input.hpp
@@ -14,26 +14,27 @@
 
 namespace caperjunction::net {
 
-/// A path under /services/, cut in two.
+/// Path below /services/, split at the service name.
 struct service_path
 {
     std::string service;
-    /// Path and query for the service itself, from its slash on.
+    /// Path and query for the service, starting with a slash.
     std::string rest;
 };
 
 std::string header_of(evhttp_request* request, char const* name);
 
-/// Path and query as they were sent.
+/// Returns path and query as sent.
 std::string uri_of(evhttp_request* request);
 
-/// The path alone.
+/// Returns the path without the query.
 std::string path_of(evhttp_request* request);
 
-/// The method's name; "POST" for one that is not served.
+/// Returns the method's name; "POST" for unsupported methods.
 std::string method_of(evhttp_request* request);
 
-/// The body. \throws model::error (too_large) above `limit` bytes.
+/// Returns the body.
+/// \throws model::error (too_large) above `limit` bytes.
 std::string body_of(evhttp_request* request, std::size_t limit);
 
 std::uint16_t port_of(evhttp_bound_socket* socket);
@@ -41,8 +42,8 @@
 /// \throws model::error (not_found) if no service is named.
 service_path split_service_path(std::string_view uri);
 
-/// Checks that the caller may make this call, and notes in `made` whether it
-/// may be repeated.
+/// Checks that the caller may make this call, and records in `created` whether
+/// it may be repeated.
 ///
 /// \throws model::error (not_found, not_entitled, bad_request).
 void check_service_call(lists::catalogue const& catalogue,
--- a/src/net/http_sink.hpp
+++ b/src/net/http_sink.hpp
@@ -9,8 +9,9 @@
 
 namespace caperjunction::net {
 
-/// A sink to a caller's connection. `before_end` is called right before an
-/// answer's end is sent: after it the connection goes on to its next request.
+/// Creates a sink for a caller's connection. `before_end` is called right
+/// before the end of an answer is sent, because the connection then continues
+/// with its next request.
 caller_sink make_http_sink(evhttp_request* caller,
                            std::function<void()> const& before_end);
 
--- a/src/net/paths.hpp
+++ b/src/net/paths.hpp
@@ -5,7 +5,7 @@
 
 namespace caperjunction::net::paths {
 
-// What callers may ask for.
+// Paths served to callers.
 inline constexpr std::string_view chat = "/v1/chat/completions";
 inline constexpr std::string_view completion = "/v1/completions";
 inline constexpr std::string_view models = "/v1/models";
--- a/src/net/peer_acceptor.cpp
+++ b/src/net/peer_acceptor.cpp
@@ -23,11 +23,11 @@
     sockaddr_storage address{};
     size = sizeof address;
     auto* const raw = reinterpret_cast<sockaddr*>(&address);
-    // Port 0 is no port to the parser; it is set afterwards.
+    // The parser rejects port 0; without a port it leaves the port at 0.
     std::string const parsed = endpoint.port == 0 ? host : text;
     if (evutil_parse_sockaddr_port(parsed.c_str(), raw, &size) != 0) {
         throw model::error(model::error_kind::bad_settings,
-                           "'" + text + "' is no address to listen on",
+                           "'" + text + "' is not a valid listen address",
                            "give a numeric address for peers");
     }
     return address;
@@ -92,8 +92,8 @@
 
 void peer_acceptor::accept(int socket)
 {
-    // Whoever reaches the port may open connections; beyond the bound they
-    // would take the descriptors that callers need.
+    // Any process that reaches the port can open connections. Without a
+    // limit they use up the file descriptors that callers need.
     if (m_accepted.size() >= m_settings.max_accepted) {
         evutil_closesocket(socket);
         return;
@@ -129,11 +129,15 @@
     if (auto const* hello = std::get_if<peer_hello>(&frame)) {
         handle_hello(number, *hello);
     } else if (!from.authenticated) {
-        refuse(number, "", "spoke before it proved itself", "look who it is");
+        refuse(number,
+               "",
+               "sent a message before it authenticated",
+               "find out which process connects to the peer port");
     } else if (auto const* ping = std::get_if<peer_ping>(&frame)) {
         from.connection->send(encode(peer_pong{ping->number}));
     } else if (auto const* message = std::get_if<fleet::peer_message>(&frame)) {
-        // A copy: the receiver may unlist the peer, and drop it.
+        // Copied, because the receiver may unlist the peer, which destroys
+        // its entry.
         std::string const host = from.handshake.dialer;
         m_calls.received(host, *message);
     }
@@ -177,7 +181,7 @@
     m_calls.failed(
         host,
         model::error(model::error_kind::unauthenticated,
-                     "a caller on the peer port, '" + host + "', " + reason,
+                     "a connection to the peer port, '" + host + "', " + reason,
                      remedy));
 }
 
@@ -207,8 +211,8 @@
         accepted const& each = current->second;
         bool const late = !each.authenticated
                           && now - each.opened_at >= m_settings.connect_timeout;
-        // The caller pings, and notices silence first; this only frees what
-        // a caller left behind that is gone.
+        // The dialer sends pings and detects silence first. This limit only
+        // frees connections whose dialer is gone.
         bool const silent =
             now - each.received_at >= 2 * m_settings.silence_limit;
         if (late || silent) {
--- a/src/net/peer_acceptor.hpp
+++ b/src/net/peer_acceptor.hpp
@@ -19,7 +19,8 @@
 
 namespace caperjunction::net {
 
-/// Listens for peers, and takes messages from those that prove themselves.
+/// Accepts connections from peers and receives messages from authenticated
+/// ones.
 ///
 /// Thread safety: none; used only by the thread that runs its loop.
 class peer_acceptor
@@ -27,14 +28,14 @@
 public:
     struct callbacks
     {
-        /// Whether a host of that name is in the platform's list.
+        /// Returns whether the platform's list contains a host of that name.
         std::function<bool(std::string const&)> is_listed;
         std::function<void(std::string const&, fleet::peer_message const&)>
             received;
         std::function<void(std::string const&, model::error const&)> failed;
     };
 
-    /// \throws model::error (bad_settings) if it can't listen.
+    /// \throws model::error (bad_settings) if the address cannot be bound.
     /// \pre All references outlive this object.
     peer_acceptor(runtime::event_loop& loop,
                   peer_link_settings const& settings,
@@ -44,10 +45,10 @@
     peer_acceptor(peer_acceptor const&) = delete;
     peer_acceptor& operator=(peer_acceptor const&) = delete;
 
-    /// Closes connections of hosts that are listed no more.
+    /// Closes connections of hosts that are no longer listed.
     void drop_unlisted();
 
-    /// To be called every `tick_period`.
+    /// Enforces timeouts. Call every `tick_period`.
     void tick();
 
     std::uint16_t port() const;
--- a/src/net/peer_codec.cpp
+++ b/src/net/peer_codec.cpp
@@ -50,8 +50,9 @@
     return bytes;
 }
 
-// Whoever reaches the port may send anything. A length that leads outside of
-// the frame would read foreign memory; the verifier walks all of them first.
+// Any process that reaches the port can send arbitrary bytes. The verifier
+// checks all offsets and lengths first; without it, a length that points
+// outside of the frame reads out of bounds.
 peer_frame decode(std::uint8_t const* bytes, std::size_t size)
 {
     flatbuffers::Verifier verifier(bytes, size);
--- a/src/net/peer_codec.hpp
+++ b/src/net/peer_codec.hpp
@@ -11,7 +11,7 @@
 
 namespace caperjunction::net {
 
-/// What one frame holds: a message of the fleet, or one of the link itself.
+/// Content of a frame: a fleet message, or a control message of the link.
 using peer_frame = std::variant<peer_challenge,
                                 peer_hello,
                                 peer_welcome,
@@ -19,18 +19,18 @@
                                 peer_pong,
                                 fleet::peer_message>;
 
-/// Bytes before each frame that give its length, lowest byte first.
+/// Size of the length prefix of each frame, little endian.
 inline constexpr std::size_t frame_prefix_bytes = 4;
 
-/// The frame as it goes over the wire, with its length in front.
+/// Serializes a frame, including its length prefix.
 ///
 /// Thread safety: no shared state.
 std::string encode(peer_frame const& frame);
 
-/// Reads a frame, without the length.
+/// Parses a frame without its length prefix.
 ///
-/// \throws model::error (bad_request) if the bytes are no valid frame or a
-/// field is out of its range; nothing is read outside of `bytes`.
+/// \throws model::error (bad_request) if the bytes are not a valid frame or a
+/// field is out of range; never reads outside of `bytes`.
 peer_frame decode(std::uint8_t const* bytes, std::size_t size);
 
 } // namespace caperjunction::net
--- a/src/net/peer_connection.cpp
+++ b/src/net/peer_connection.cpp
@@ -15,7 +15,7 @@
 namespace caperjunction::net {
 namespace {
 
-// A hello with the longest name and both proofs takes less than half of it.
+// A hello with the longest name and both proofs needs less than half of it.
 constexpr std::size_t max_unauthenticated_frame_bytes = 1'024;
 
 std::size_t read_length(std::array<std::uint8_t, frame_prefix_bytes> prefix)
@@ -28,7 +28,8 @@
     return length;
 }
 
-// Heartbeats and claims are small and must not wait for more to send.
+// Without TCP_NODELAY, heartbeats and claims, which are small, wait for more
+// data to send.
 void set_no_delay(evutil_socket_t socket)
 {
     int const on = 1;
@@ -93,7 +94,7 @@
 
 void peer_connection::handle_read(bufferevent*, void* self)
 {
-    // The owner may drop the connection for what a frame says.
+    // The owner may release the connection while it handles a frame.
     auto const alive = static_cast<peer_connection*>(self)->shared_from_this();
     while (alive->m_open && alive->read_frame()) {
     }
@@ -113,8 +114,8 @@
         model::error const error(model::error_kind::too_large,
                                  "a peer sent a frame of "
                                      + std::to_string(length) + " bytes",
-                                 "run the same version on all hosts, and see "
-                                 "that only hosts reach the peer port");
+                                 "run the same version on all hosts, and let "
+                                 "only hosts reach the peer port");
         end(&error);
         return false;
     }
--- a/src/net/peer_connection.hpp
+++ b/src/net/peer_connection.hpp
@@ -14,9 +14,10 @@
 
 namespace caperjunction::net {
 
-/// One TCP connection that carries frames.
+/// TCP connection that carries frames.
+///
+/// The owner may release it at any time, including from its callbacks.
 ///
-/// Its owner may drop it at any moment, within its callbacks too.
 /// Thread safety: none; used only by the thread that runs its loop.
 class peer_connection : public std::enable_shared_from_this<peer_connection>
 {
@@ -25,32 +26,34 @@
     {
         std::function<void()> connected;
         std::function<void(peer_frame const&)> frame;
-        /// Called once at most; nothing follows. Null if the far end closed.
+        /// Called at most once, as the last callback. Null if the peer closed
+        /// the connection.
         std::function<void(model::error const*)> ended;
     };
 
-    /// Takes `socket` over. \pre counters outlives this object.
+    /// Takes ownership of `socket`. \pre counters outlives this object.
     peer_connection(bufferevent* socket, peer_link_counters& counters);
     ~peer_connection();
     peer_connection(peer_connection const&) = delete;
     peer_connection& operator=(peer_connection const&) = delete;
 
-    /// Begins to read and write. \pre Owned by a shared_ptr.
+    /// Starts reading and writing. \pre Owned by a shared_ptr.
     void open(callbacks calls);
 
-    /// Connects to a numeric address; false if it is none.
+    /// Connects to a numeric address; returns false if it is not numeric.
     bool connect(model::endpoint const& to);
 
-    /// Writes nothing more and reads nothing more.
+    /// Stops reading and writing and disables all callbacks.
     void close();
 
-    /// Writes bytes made by `encode`.
+    /// Sends bytes produced by `encode`.
     void send(std::string const& bytes);
 
     std::size_t queued_bytes() const;
 
-    /// Before a peer has proven itself, only short frames are taken: it
-    /// could fill the memory with frames that are never complete.
+    /// Sets the frame limit of an authenticated peer. Before authentication
+    /// the limit is low, because a peer could fill the memory with frames
+    /// that are never complete.
     void set_max_frame_bytes(std::size_t bytes)
     {
         m_max_frame_bytes = bytes;
--- a/src/net/peer_control.hpp
+++ b/src/net/peer_control.hpp
@@ -7,13 +7,13 @@
 
 namespace caperjunction::net {
 
-/// First frame on a connection, from the host that was called.
+/// First frame on a connection, sent by the accepting host.
 struct peer_challenge
 {
     std::vector<std::uint8_t> nonce;
 };
 
-/// The caller names itself, and proves that it knows the secret.
+/// The dialing host identifies itself and proves that it knows the secret.
 struct peer_hello
 {
     std::string host;
@@ -21,13 +21,13 @@
     std::vector<std::uint8_t> proof;
 };
 
-/// The called host proves the same; messages may follow.
+/// The accepting host proves that it knows the secret; messages may follow.
 struct peer_welcome
 {
     std::vector<std::uint8_t> proof;
 };
 
-/// Asks for a sign of life of this one connection.
+/// Liveness check of this connection.
 struct peer_ping
 {
     std::uint64_t number = 0;
--- a/src/net/peer_dialer.cpp
+++ b/src/net/peer_dialer.cpp
@@ -48,8 +48,8 @@
            + (m_connection != nullptr ? m_connection->queued_bytes() : 0);
 }
 
-// A peer that is slow or gone must cost a bounded amount of memory. The
-// sender learns at once that the message was not taken.
+// Bounds the memory that a slow or stopped peer uses. The sender learns
+// immediately that the message was rejected.
 bool peer_dialer::send(std::string const& bytes)
 {
     if (queued_bytes() + bytes.size() > m_settings.max_queued_bytes) {
@@ -90,7 +90,7 @@
     if (!m_connection->connect(m_address)) {
         model::error const error(model::error_kind::bad_list,
                                  "'" + m_address.address
-                                     + "' is no address to connect to",
+                                     + "' is not a valid address to connect to",
                                  "publish a numeric address and a port");
         handle_loss(&error);
     }
@@ -124,8 +124,8 @@
     m_connection->send(encode(hello));
 }
 
-// Without this check, anyone who took over a peer's address could collect
-// what is handed over to it.
+// Without this check, a process that takes over a peer's address receives the
+// requests that are handed over to that peer.
 void peer_dialer::handle_welcome(peer_welcome const& welcome)
 {
     bool const hello_sent =
@@ -172,8 +172,8 @@
         connect();
         return;
     }
-    // What waited for this connection is old by the time the next one may
-    // succeed; its senders have timeouts of their own.
+    // Queued messages are outdated by the time the next attempt succeeds;
+    // their senders have their own timeouts.
     m_pending.clear();
     m_pending_bytes = 0;
     m_stage = stage::waiting;
@@ -196,7 +196,7 @@
                && now >= m_deadline) {
         model::error const error(model::error_kind::timed_out,
                                  "no connection to " + m_peer + " in time",
-                                 "see that its peer port can be reached");
+                                 "check that its peer port is reachable");
         handle_loss(&error);
     } else if (m_stage == stage::ready) {
         if (now - m_received_at >= m_settings.silence_limit) {
--- a/src/net/peer_dialer.hpp
+++ b/src/net/peer_dialer.hpp
@@ -17,13 +17,13 @@
 
 namespace caperjunction::net {
 
-/// Keeps up the connection from this host to one peer, over which all
-/// messages to that peer go.
+/// Maintains the connection from this host to one peer, which carries all
+/// messages to that peer.
 ///
-/// Something between two hosts may forget a connection, so that it stays
-/// open and carries nothing. One notices it as pings without an answer. That
-/// condemns the connection only: a fresh one is made at once, and only if
-/// that fails too is the peer told of as disconnected.
+/// A middlebox may lose its state of a connection, which then stays open but
+/// carries no data. The symptom is unanswered pings. Silence ends only the
+/// connection: a new one is opened immediately, and the peer is reported as
+/// disconnected only if that one fails too.
 ///
 /// Thread safety: none; used only by the thread that runs its loop.
 class peer_dialer
@@ -44,16 +44,17 @@
                 peer_link_counters& counters,
                 callbacks const& calls);
 
-    /// Whether the connection is to be kept up though nothing is sent.
+    /// Sets whether the connection stays open while it is idle.
     void set_persistent(bool persistent);
 
-    /// A peer that is replaced comes back at another address.
+    /// Sets the address, which changes when a peer is replaced. Reconnects
+    /// unless idle.
     void set_address(model::endpoint const& address);
 
-    /// False if the queue is full.
+    /// Returns false if the queue is full.
     bool send(std::string const& bytes);
 
-    /// To be called every `tick_period`.
+    /// Sends pings and enforces timeouts. Call every `tick_period`.
     void tick();
 
     bool is_connected() const
@@ -70,7 +71,7 @@
         connecting,
         authenticating,
         ready,
-        /// The last try failed; the next one is due later.
+        /// The last attempt failed; the next one starts after a delay.
         waiting,
     };
 
@@ -91,7 +92,7 @@
     peer_handshake m_handshake;
     stage m_stage = stage::idle;
     bool m_is_persistent = false;
-    /// Told of as connected, and not as disconnected since.
+    /// Reported as connected, and not as disconnected since.
     bool m_reported_connected = false;
     std::deque<std::string> m_pending;
     std::size_t m_pending_bytes = 0;
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -11,7 +11,7 @@
 namespace caperjunction::net {
 namespace {
 
-// Bounds how late a silence or a deadline is noticed.
+// Maximum delay until silence or a missed deadline is detected.
 constexpr model::milliseconds tick_period{100};
 
 void check_settings(peer_link_settings const& settings)
@@ -82,7 +82,8 @@
 
     void tick()
     {
-        // Signals may unlist a host; then its dialer must outlive the call.
+        // A signal handler may unlist a host; the copy keeps its dialer alive
+        // until the call returns.
         auto const current = dialers;
         for (auto const& [host, dialer] : current) {
             dialer->tick();
@@ -144,7 +145,7 @@
         }
         bool const was_connected = dialer->is_connected();
         self.dialers.erase(name);
-        // Freed when whatever called here has returned.
+        // Destroyed after the current call stack has returned.
         self.loop.defer([dialer = dialer] {});
         if (was_connected) {
             disconnected.emit(name);
--- a/src/net/peer_link_settings.hpp
+++ b/src/net/peer_link_settings.hpp
@@ -17,25 +17,26 @@
     std::string host;
     /// Port 0 lets the kernel choose.
     model::endpoint listen;
-    /// Known to all hosts of the fleet and to nobody else.
+    /// Known to all hosts of the fleet and to no other process.
     std::string secret;
     model::milliseconds ping_period{1'000};
-    /// No byte for this long condemns a connection; not the far end.
+    /// A connection without received bytes for this time is closed and
+    /// replaced; the peer is not yet considered down.
     model::milliseconds silence_limit{3'000};
     /// For the TCP connection and the handshake together.
     model::milliseconds connect_timeout{2'000};
     model::milliseconds reconnect_delay{500};
-    /// A connection nobody asks for is closed after this time unused.
+    /// A connection that is not persistent is closed after this time unused.
     model::milliseconds idle_timeout{60'000};
-    /// Bytes waiting for one host before `send` refuses.
+    /// Maximum bytes queued for one host; beyond it `send` returns false.
     std::size_t max_queued_bytes = std::size_t{16} * 1024 * 1024;
-    /// A longer frame ends the connection.
+    /// A longer frame closes the connection.
     std::size_t max_frame_bytes = model::limits::max_body_bytes + 65'536;
-    /// Connections that peers may have open here, proven or not.
+    /// Maximum accepted connections, authenticated or not.
     std::size_t max_accepted = 2'048;
 };
 
-/// What the link has seen, for metrics.
+/// Counters of the link, for metrics.
 struct peer_link_counters
 {
     std::uint64_t bad_frames = 0;
--- a/src/net/peer_proof.cpp
+++ b/src/net/peer_proof.cpp
@@ -13,7 +13,8 @@
 constexpr std::size_t nonce_bytes = 16;
 constexpr std::size_t proof_bytes = 32;
 
-// Lengths go in front, so that no two exchanges give the same text.
+// Each field is prefixed with its length, so that two different handshakes
+// never produce the same text.
 template <typename Bytes>
 void append(std::string& text, Bytes const& bytes)
 {
@@ -29,8 +30,8 @@
     std::vector<std::uint8_t> nonce(nonce_bytes);
     if (RAND_bytes(nonce.data(), static_cast<int>(nonce.size())) != 1) {
         throw model::error(model::error_kind::unavailable,
-                           "the system gives no random bytes",
-                           "see that /dev/urandom can be read");
+                           "the system provides no random bytes",
+                           "check that /dev/urandom is readable");
     }
     return nonce;
 }
--- a/src/net/peer_proof.hpp
+++ b/src/net/peer_proof.hpp
@@ -8,40 +8,41 @@
 
 namespace caperjunction::net {
 
-/// Everything that both ends of a new connection have told each other.
+/// Values that both ends of a new connection have exchanged.
 struct peer_handshake
 {
     std::vector<std::uint8_t> challenge_nonce;
     std::vector<std::uint8_t> hello_nonce;
-    /// The host that made the connection.
+    /// Host that opened the connection.
     std::string dialer;
-    /// The host that it wanted to reach.
+    /// Host that the dialer intends to reach.
     std::string acceptor;
 };
 
-/// Which end a proof comes from; one end's is worth nothing for the other.
+/// End that produced a proof. A proof of one end is invalid for the other, so
+/// that it cannot be reflected.
 enum class proof_side : std::uint8_t
 {
     dialer,
     acceptor,
 };
 
-/// Shortest secret that is accepted, in bytes.
+/// Minimum length of the secret, in bytes.
 inline constexpr std::size_t min_secret_bytes = 16;
 
-/// Bytes that nobody can foresee.
+/// Returns unpredictable bytes.
 ///
-/// \throws model::error (unavailable) if the system has none.
+/// \throws model::error (unavailable) if the system provides none.
 std::vector<std::uint8_t> make_nonce();
 
-/// HMAC-SHA256 under the secret over the exchange. Both nonces are in it, so
-/// that no recorded proof can be used again, and both names, so that none
-/// can be used towards another host.
+/// Returns the HMAC-SHA256 of the handshake, keyed with the secret. It covers
+/// both nonces, so that a recorded proof cannot be replayed, and both names, so
+/// that a proof cannot be used towards another host.
 std::vector<std::uint8_t> make_proof(std::string_view secret,
                                      proof_side side,
                                      peer_handshake const& handshake);
 
-/// Compares in a time that does not depend on where the two differ.
+/// Compares in constant time.
 bool equal_proofs(std::vector<std::uint8_t> const& left,
                   std::vector<std::uint8_t> const& right);
 
--- a/src/net/peer_read.cpp
+++ b/src/net/peer_read.cpp
@@ -47,7 +47,7 @@
                           table->round(),
                           enumerator(table->kind(),
                                      fleet::update_kind::leaving,
-                                     "kind of rumour")});
+                                     "kind of membership update")});
     }
     return values;
 }
--- a/src/net/peer_read.hpp
+++ b/src/net/peer_read.hpp
@@ -9,15 +9,15 @@
 #include <string>
 #include <vector>
 
-/// Reads verified tables into messages. Verifying makes sure of offsets and
-/// lengths, not of values: whatever indexes or chooses is checked here.
-/// Private to the codec.
+/// Converts verified tables into messages. The verifier checks offsets and
+/// lengths but not values, so values that are used as an index or an enumerator
+/// are checked here. Private to the codec.
 namespace caperjunction::net::read {
 
 /// \throws model::error, always.
 [[noreturn]] void fail(char const* what);
 
-/// The enumerator of that number, if it is not above `last`.
+/// Returns the enumerator of that number; fails if it is above `last`.
 template <typename Enum>
 Enum enumerator(std::uint8_t number, Enum last, char const* what)
 {
@@ -31,12 +31,14 @@
 std::string text(flatbuffers::Vector<std::uint8_t> const* value);
 std::vector<std::uint8_t> bytes(flatbuffers::Vector<std::uint8_t> const* value);
 
-/// The message of a frame whose body is one of the fleet's.
+/// Returns the message of a frame whose body is a fleet message.
 ///
 /// \throws model::error (bad_request) for an unknown body.
 fleet::peer_message message(wire::Frame const& frame);
 
-/// The same for the messages about non-repeatable calls.
+/// Returns the message of a frame about a non-repeatable call.
+///
+/// \throws model::error (bad_request) for an unknown body.
 fleet::claim_message claim_message(wire::Frame const& frame);
 
 } // namespace caperjunction::net::read
--- a/src/net/peer_write.cpp
+++ b/src/net/peer_write.cpp
@@ -14,8 +14,8 @@
             values[published_value::upstreams]};
 }
 
-/// A host mostly has in force what it has; then only one of the two is sent,
-/// which takes a quarter off every heartbeat.
+/// Revisions of an announcement. Usually the latest revisions are in force;
+/// then they are sent only once, which makes each heartbeat a quarter smaller.
 struct announced_revisions
 {
     explicit announced_revisions(fleet::config_announce const& revisions_sent)
@@ -197,7 +197,7 @@
                                             inserted));
     }
     auto const deltas = m_builder.CreateVector(tables);
-    // No body and an empty one are not the same.
+    // A missing body differs from an empty one.
     auto const body =
         message.body != nullptr ? text(*message.body) : text_offset();
     return finish(wire::Body::Value,
--- a/src/net/peer_write.hpp
+++ b/src/net/peer_write.hpp
@@ -11,14 +11,14 @@
 
 namespace caperjunction::net {
 
-/// A finished table that can stand in a frame.
+/// Finished table that can be the body of a frame.
 struct written_body
 {
     wire::Body type = wire::Body::NONE;
     flatbuffers::Offset<void> offset;
 };
 
-/// Writes one message as a table. Private to the codec.
+/// Serializes one message as a table. Private to the codec.
 ///
 /// Thread safety: none; the builder belongs to one call.
 class peer_writer
--- a/src/net/platform_reader.cpp
+++ b/src/net/platform_reader.cpp
@@ -14,10 +14,10 @@
 
 constexpr int status_ok = 200;
 constexpr int status_not_modified = 304;
-// Room for the JSON around a value of the greatest size.
+// Twice the maximum value size leaves space for the surrounding JSON.
 constexpr std::size_t max_answer_bytes = model::limits::max_list_bytes * 2;
 
-/// One read, while its answer comes in.
+/// Answer of a read in progress.
 struct pending_answer
 {
     int status = 0;
@@ -26,14 +26,14 @@
 
 upstream_timeouts timeouts_for(model::milliseconds watch_wait)
 {
-    // A watch is silent by rights for as long as it waits.
+    // A watch sends nothing while it waits, which is not a fault.
     constexpr model::milliseconds margin{5'000};
     upstream_timeouts timeouts;
     timeouts.first_byte = watch_wait + margin;
     return timeouts;
 }
 
-/// False if the answer is not what the service should send.
+/// Returns false if the answer does not have the expected format.
 bool parse_answer(fleet::value_read& into, std::string const& body)
 {
     nlohmann::json const answer = nlohmann::json::parse(body, nullptr, false);
--- a/src/net/platform_reader.hpp
+++ b/src/net/platform_reader.hpp
@@ -14,7 +14,7 @@
 
 namespace caperjunction::net {
 
-/// Reads and watches what the platform publishes; it writes nothing.
+/// Reads and watches the values that the platform publishes; never writes.
 ///
 /// Thread safety: none; owned by one task.
 class platform_reader
@@ -27,14 +27,14 @@
     /// Reads the value once.
     void read(fleet::published_value value);
 
-    /// Asks the service for a revision above `after`, and lets it wait for
-    /// one for `wait` (at most the watch wait of the settings).
+    /// Requests a revision above `after`. The service waits for one for up to
+    /// `wait`, which is capped at `watch_wait` of the constructor.
     void watch(fleet::published_value value,
                std::uint64_t after,
                model::milliseconds wait);
 
-    /// Each read and each watch ends with just one of these two; with them
-    /// comes the time at which the call began.
+    /// Each read and each watch ends with exactly one of these two signals.
+    /// The second argument is the time at which the call started.
     sigc::signal<void(fleet::value_read const&, model::time_point)> arrived;
     sigc::signal<void(fleet::read_ended const&, model::time_point)> ended;
 
--- a/src/net/prefix_blocks.hpp
+++ b/src/net/prefix_blocks.hpp
@@ -8,13 +8,14 @@
 
 namespace caperjunction::net {
 
-/// Characters of a prompt that one block of a prefix covers.
+/// Prompt characters per prefix block.
 inline constexpr std::size_t prefix_block_characters = 256;
-/// Blocks that are told apart; a longer prompt is known by its beginning.
+/// Maximum blocks per prompt; a longer prompt is identified by its beginning.
 inline constexpr std::size_t max_prefix_blocks = 64;
 
-/// Hashes of the leading whole blocks of `prompt`, each over all before it
-/// and over the model's name, as engines name them in cache events.
+/// Returns the hashes of the leading complete blocks of `prompt`. Each hash
+/// covers the model's name and all previous blocks, and matches the block id in
+/// the cache events of engines.
 std::vector<std::uint64_t> prefix_blocks(std::string_view model,
                                          std::string_view prompt);
 
--- a/src/net/relay.cpp
+++ b/src/net/relay.cpp
@@ -9,9 +9,9 @@
 namespace caperjunction::net {
 namespace {
 
-// Bytes that wait for a slow caller. Above the first the engine's answer is
-// left unread, below the second reading goes on; without a bound one caller
-// that doesn't read would fill the host's memory.
+// Bytes buffered for a slow caller. Reading of the engine's answer pauses above
+// the first limit and resumes below the second. Without a limit, one caller
+// that doesn't read fills the host's memory.
 constexpr std::size_t pause_above_bytes = 1'048'576;
 constexpr std::size_t resume_below_bytes = 262'144;
 
@@ -63,7 +63,8 @@
                               execute(decision);
                           },
                           [this](use_lists& lists) {
-                              m_caller_server.use(std::move(lists.catalogue));
+                              m_caller_server.set_catalogue(
+                                  std::move(lists.catalogue));
                           },
                           [this](use_upstreams& listed) {
                               set_upstreams(listed.upstreams);
@@ -74,8 +75,8 @@
                           [this](replay_answer& answer) {
                               answer_stored(answer);
                           },
-                          [this](serve_handed_over& given) {
-                              serve(given);
+                          [this](serve_handed_over& handed_over) {
+                              serve(handed_over);
                           },
                           [this](receive_chunk& part) {
                               receive(part);
@@ -113,8 +114,8 @@
     return found == m_exchanges.end() ? nullptr : found->second.get();
 }
 
-// What is reported must arrive, and in order, or the decision logic would
-// count work that has ended; what finds no room waits for the next turn.
+// Reports must arrive, and in order; otherwise the decision logic counts work
+// that has ended. Rejected reports are kept and sent again later.
 void relay::report(relay_report report)
 {
     if (m_backlog.empty() && m_report(report)) {
@@ -172,8 +173,8 @@
     active->caller.reset();
     bool const running = static_cast<bool>(active->call);
     if (!active->request.repeatable && running) {
-        // It may have run, and a resend will ask for its answer: it goes on
-        // to its end.
+        // The call may have run, and a resend will request its answer, so it
+        // continues to its end.
         return;
     }
     if (!active->to_host.empty()) {
--- a/src/net/relay.hpp
+++ b/src/net/relay.hpp
@@ -18,22 +18,23 @@
 
 namespace caperjunction::net {
 
-/// Stands between callers and upstreams: carries out the decisions, relays
-/// the answers, and tells the task that decides what happens.
+/// Relays between callers and upstreams: executes the decisions, relays the
+/// answers, and reports events to the task that decides.
 ///
 /// Thread safety: none; owned by one task.
 class relay
 {
 public:
-    /// How often relayed tokens are told, and buffers looked at. Several
-    /// tokens of a stream come in that time; telling each alone would cost
-    /// the task that decides as much as relaying it.
+    /// Interval at which relayed tokens are reported and buffers are checked.
+    /// Several tokens of a stream arrive within it; reporting each token
+    /// costs the task that decides as much time as relaying it.
     static constexpr model::milliseconds poll_period{200};
 
-    /// Until reports that found no room are offered again.
+    /// Delay until reports that the other task rejected are sent again.
     static constexpr model::milliseconds backlog_retry_delay{1};
 
-    /// Passes reports to the task that decides; false if it is full.
+    /// Sends a report to the task that decides; returns false if its mailbox
+    /// is full.
     using report_hook = std::function<bool(relay_report&)>;
 
     relay(runtime::event_loop& loop,
@@ -56,7 +57,7 @@
     }
 
 private:
-    // Exchanges: begin and end.
+    // Start and end of exchanges.
     bool accept(std::unique_ptr<exchange> arrived);
     void handle_disconnect(model::request_id id);
     void finish(exchange& active, model::outcome outcome, std::string error);
@@ -66,7 +67,7 @@
     void set_upstreams(model::upstream_list const& upstreams);
     exchange* find(model::request_id id);
 
-    // Attempts at upstreams.
+    // Attempts on upstreams.
     void execute(decide::decision const& decision);
     void start_attempt(decide::dispatch const& to);
     void start_booking(dispatch_booking const& booking);
@@ -82,9 +83,9 @@
     void send_upstream_error(exchange& active);
     void relay_events(exchange& active, std::string const& events);
 
-    // Requests that go to or come from another host.
+    // Requests handed over to or from another host.
     void hand_over(decide::hand_over const& decision);
-    void serve(serve_handed_over const& given);
+    void serve(serve_handed_over const& message);
     caller_sink make_peer_sink(std::string const& host, model::request_id id);
     void receive(receive_chunk const& part);
     void receive(receive_end const& end);
@@ -105,7 +106,7 @@
         m_exchanges;
     std::unordered_map<std::string, model::endpoint> m_addresses;
     runtime::timer_handle m_poll_timer;
-    // Reports that the other task had no room for.
+    // Reports that the other task could not accept yet.
     std::deque<relay_report> m_backlog;
     bool m_stopping = false;
 };
--- a/src/net/relay_attempt.cpp
+++ b/src/net/relay_attempt.cpp
@@ -164,7 +164,7 @@
         return attempt_end::complete;
     }
     if (active.status == status_ok) {
-        // A stream that ends without its closing event was cut short.
+        // A stream that ends without its closing event is truncated.
         return active.done_seen ? attempt_end::complete : attempt_end::broken;
     }
     if (active.status == too_many_requests
@@ -225,8 +225,8 @@
     finish(active, outcome, "");
 }
 
-// The engine found fault with the request itself; its own words say more
-// than any of the router's.
+// The engine rejected the request itself. Its own error text is more precise
+// than a generic one.
 void relay::send_upstream_error(exchange& active)
 {
     reply_metadata const metadata{active.request.id, model::outcome::unknown};
@@ -242,8 +242,9 @@
     finish(active, metadata.outcome, "upstream_refused_request");
 }
 
-// The process may have slept since the claim was confirmed, and another host
-// run the call meanwhile; the caller would be charged twice.
+// If the process was suspended after the claim was confirmed, another host may
+// have run the call in the meantime. A late dispatch would then run it twice,
+// and the caller would be charged twice.
 void relay::start_booking(dispatch_booking const& booking)
 {
     if (m_loop.now() <= booking.until) {
--- a/src/net/relay_hand_over.cpp
+++ b/src/net/relay_hand_over.cpp
@@ -30,8 +30,8 @@
     if (active == nullptr) {
         return;
     }
-    // A claim belongs to the host that made it; what may run only once stays
-    // where its claim is.
+    // A claim belongs to the host that made it, so a call that may run only
+    // once is not handed over.
     if (!active->request.repeatable || active->answer_started) {
         report_event(decide::hand_over_refused{decision.id, decision.host});
         return;
@@ -40,20 +40,21 @@
     report(hand_over_requested{decision.host, pack(*active, m_loop.now())});
 }
 
-void relay::serve(serve_handed_over const& given)
+void relay::serve(serve_handed_over const& message)
 {
-    model::request_id const id = given.request.id;
+    model::request_id const id = message.request.id;
     try {
-        auto created = unpack(given.request, m_loop.now());
-        created->from_host = given.from;
-        created->caller = make_peer_sink(given.from, id);
+        auto created = unpack(message.request, m_loop.now());
+        created->from_host = message.from;
+        created->caller = make_peer_sink(message.from, id);
         if (accept(std::move(created))) {
             return;
         }
     } catch (model::error const&) {
-        // Answered below: the other host serves it or tells its caller.
+        // Refused below: the other host serves the request or answers its
+        // caller.
     }
-    report(hand_over_ended{given.from,
+    report(hand_over_ended{message.from,
                            {id,
                             fleet::hand_over_result::refused,
                             model::outcome::not_run,
@@ -148,7 +149,7 @@
     std::string const host = std::exchange(active.to_host, "");
     active.collected.clear();
     if (!active.answer_started) {
-        // Nothing has reached the caller, and repeating does no harm.
+        // Nothing has reached the caller, and the request is repeatable.
         report_event(decide::hand_over_refused{end.id, host});
         return;
     }
--- a/src/net/relay_message.hpp
+++ b/src/net/relay_message.hpp
@@ -13,26 +13,26 @@
 
 namespace caperjunction::net {
 
-/// These lists are in force from now on.
+/// Replaces the lists in force.
 struct use_lists
 {
     std::shared_ptr<lists::catalogue const> catalogue;
 };
 
-/// Addresses of the upstreams from now on.
+/// Replaces the addresses of the upstreams.
 struct use_upstreams
 {
     model::upstream_list upstreams;
 };
 
-/// Dispatch a call that may run only once; not after `until`.
+/// Dispatches a call that may run only once, but not after `until`.
 struct dispatch_booking
 {
     decide::dispatch to;
     model::time_point until{};
 };
 
-/// Answer a caller with what an earlier run of its call was answered.
+/// Answers a caller with the stored answer of an earlier run of its call.
 struct replay_answer
 {
     model::request_id id;
@@ -41,46 +41,47 @@
     std::string body;
 };
 
-/// Serve a request that another host handed over.
+/// Serves a request that another host handed over.
 struct serve_handed_over
 {
     std::string from;
     fleet::hand_over_request request;
 };
 
-/// Part of an answer that another host gives for this one.
+/// Part of the answer to a request that this host handed over.
 struct receive_chunk
 {
     std::string from;
     fleet::hand_over_chunk chunk;
 };
 
-/// The end of such an answer.
+/// End of the answer to a request that this host handed over.
 struct receive_end
 {
     std::string from;
     fleet::hand_over_end end;
 };
 
-/// The other host's caller hung up.
+/// The caller of a request that `from` handed over has disconnected.
 struct cancel_handed_over
 {
     std::string from;
     model::request_id id;
 };
 
-/// This host serves nothing for us any more.
+/// `host` is lost: retracts or ends the requests handed over to it, and
+/// cancels those that it handed over.
 struct drop_host
 {
     std::string host;
 };
 
-/// Take no new connections; end when the last answer is out.
+/// Accepts no new connections; `relay_idle` follows the last answer.
 struct stop_accepting
 {
 };
 
-/// What a relay task can be told.
+/// Message to a relay task.
 using relay_message = std::variant<decide::decision,
                                    use_lists,
                                    use_upstreams,
--- a/src/net/relay_report.hpp
+++ b/src/net/relay_report.hpp
@@ -13,14 +13,14 @@
 
 namespace caperjunction::net {
 
-/// A call that may run only once; it waits for its claim.
+/// A call that may run only once arrived and waits for its claim.
 struct booking_arrived
 {
     decide::request request;
     std::string idempotency_key;
 };
 
-/// The whole answer to a call that may run only once, for resends.
+/// Complete answer to a call that may run only once, stored for resends.
 struct booking_answered
 {
     model::request_id id;
@@ -29,29 +29,29 @@
     std::string body;
 };
 
-/// How one exchange ended, for the log and the metrics.
+/// Result of an exchange, for the log and the metrics.
 struct exchange_ended
 {
     model::request_id id;
     std::string customer;
     std::string service_class;
     model::outcome outcome = model::outcome::unknown;
-    /// Empty, or the kind of error that the caller was told.
+    /// Kind of error that the caller received; empty if none.
     std::string error;
     std::uint32_t tokens = 0;
-    /// From arrival; zero if no byte was sent.
+    /// Time from arrival to the first byte; zero if no byte was sent.
     model::milliseconds first_byte{0};
     model::milliseconds total_time{0};
 };
 
-/// Ask this host to serve the request instead.
+/// Requests that `host` serves the request instead of this host.
 struct hand_over_requested
 {
     std::string host;
     fleet::hand_over_request request;
 };
 
-/// The caller of a handed-over request hung up.
+/// The caller of a handed-over request disconnected.
 struct hand_over_cancelled
 {
     std::string host;
@@ -65,19 +65,19 @@
     fleet::hand_over_chunk chunk;
 };
 
-/// The end of such an answer.
+/// End of the answer to a request that another host handed over.
 struct hand_over_ended
 {
     std::string host;
     fleet::hand_over_end end;
 };
 
-/// The relay has stopped accepting and its last answer is out.
+/// The relay has stopped accepting and has sent its last answer.
 struct relay_idle
 {
 };
 
-/// What the relay tells the task that decides.
+/// Report from the relay to the task that decides.
 using relay_report = std::variant<decide::event,
                                   booking_arrived,
                                   booking_answered,
--- a/src/net/relay_settings.hpp
+++ b/src/net/relay_settings.hpp
@@ -14,14 +14,14 @@
 /// Settings of the task that relays between callers and upstreams.
 struct relay_settings
 {
-    /// Where callers are served; port 0 lets the kernel choose.
+    /// Listen address for callers; port 0 lets the kernel choose.
     model::endpoint listen{"127.0.0.1", 0};
-    /// High bits of the request ids that this host gives out.
+    /// High bits of the request ids that this host assigns.
     std::uint32_t id_prefix = 0;
-    /// Requests served side by side; one more is refused.
+    /// Maximum concurrent requests; further ones are refused.
     std::size_t max_exchanges = 20'000;
     std::size_t max_body_bytes = model::limits::max_body_bytes;
-    /// Within it a caller has to send its whole request, and to take some
+    /// Time for a caller to send its complete request, and to read some more
     /// of its answer.
     model::milliseconds caller_timeout{30'000};
     upstream_timeouts upstreams;
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -39,13 +39,15 @@
         evhttp_request_get_connection(request);
     bufferevent* const stream = evhttp_connection_get_bufferevent(connection);
     evbuffer* const output = bufferevent_get_output(stream);
-    // A bufferevent keeps its output from being drained by others; this is
-    // its own thread, between two of its own writes.
+    // A bufferevent freezes its output buffer against draining by other code.
+    // Unfreezing is safe here: this is the bufferevent's own thread, between
+    // two of its writes.
     evbuffer_unfreeze(output, 1);
     evbuffer_write(output, socket_of(connection));
     evbuffer_freeze(output, 1);
     if (evbuffer_get_length(output) == 0) {
-        // Nothing is left for the loop; the next write enables it again.
+        // No output is left for the loop; the next write enables EV_WRITE
+        // again.
         bufferevent_disable(stream, EV_WRITE);
     }
 }
--- a/src/net/sockets.hpp
+++ b/src/net/sockets.hpp
@@ -8,19 +8,19 @@
 
 namespace caperjunction::net {
 
-/// Turns off the delay by which TCP gathers small writes: with it, a token
-/// may wait some 40 ms for an acknowledgement, a whole target between tokens.
+/// Sets TCP_NODELAY. Without it, a token may wait about 40 ms for an
+/// acknowledgement, which is as long as the target time between tokens.
 void set_no_delay(evhttp_connection* connection);
 
-/// Whether the connection has come about.
+/// Returns whether the connection is established.
 bool is_connected(evhttp_connection* connection);
 
-/// Writes what can be written of an answer right now, without waiting for
-/// the loop to find the socket writable: one call of the system for a token
-/// in place of four.
+/// Writes pending output of an answer immediately, without waiting until the
+/// event loop reports the socket as writable. This takes one system call per
+/// token instead of four.
 void flush_output(evhttp_request* request);
 
-/// Bytes of an answer that wait for its receiver.
+/// Returns the bytes of an answer that are buffered for its receiver.
 std::size_t unsent_bytes(evhttp_request* request);
 
 } // namespace caperjunction::net
--- a/src/net/sse_scanner.cpp
+++ b/src/net/sse_scanner.cpp
@@ -3,9 +3,9 @@
 namespace caperjunction::net {
 namespace {
 
-/// The place just after the event that starts at `start`; npos if its end
-/// has not come yet. One pass: a search for each kind of line break would run
-/// to the end of a long read once for every event in it.
+/// Returns the position after the event that starts at `start`; npos if the
+/// event is incomplete. Searches in one pass: a separate search for each kind
+/// of line break runs to the end of a long read once per event in it.
 std::size_t end_of_event(std::string_view text, std::size_t start)
 {
     std::size_t line = text.find('\n', start);
@@ -22,8 +22,8 @@
     return std::string_view::npos;
 }
 
-/// Whether `field` stands in the event with a text that isn't empty. Quotes
-/// inside a JSON text are escaped, so that output can't imitate a field.
+/// Returns whether the event contains `field` with a non-empty text. Quotes
+/// inside a JSON text are escaped, so output cannot imitate a field.
 bool has_text(std::string_view event, std::string_view field)
 {
     std::size_t const position = event.find(field);
@@ -68,7 +68,7 @@
 sse_scan_result sse_scanner::feed(std::string_view bytes, std::string& events)
 {
     sse_scan_result found;
-    // The usual case has nothing left over and copies each event once.
+    // Usually no partial event is left over, and each event is copied once.
     bool const starts_clean = m_partial.empty();
     if (!starts_clean) {
         m_partial.append(bytes);
--- a/src/net/sse_scanner.hpp
+++ b/src/net/sse_scanner.hpp
@@ -8,33 +8,34 @@
 
 namespace caperjunction::net {
 
-/// What a stretch of an engine's stream held.
+/// Result of scanning a part of an engine's stream.
 struct sse_scan_result
 {
-    /// Events that carry output.
+    /// Number of events that carry output.
     std::uint32_t tokens = 0;
-    /// The engine said that the answer is whole.
+    /// The engine sent `[DONE]`: the answer is complete.
     bool done = false;
-    /// An event outgrew the limit: this is not a stream of tokens.
+    /// An event exceeds `max_event_bytes`; this is not a token stream.
     bool overlong = false;
 };
 
-/// Cuts an engine's stream into whole events.
+/// Splits an engine's stream into complete events.
 ///
-/// An engine may break in the middle of an event. Were its first half
-/// relayed, the resumed stream would go on inside a broken line and the
-/// caller would lose a token; so only whole events are passed on. The closing
-/// `[DONE]` is held back, for the router to send when all is accounted.
+/// An engine may fail in the middle of an event. If the first half were
+/// relayed, the resumed stream would continue inside a broken line and the
+/// caller would lose a token. Therefore only complete events are relayed. The
+/// closing `[DONE]` is withheld; the router sends it after it has reported all
+/// tokens.
 ///
-/// Thread safety: none; one for each attempt.
+/// Thread safety: none; one per attempt.
 class sse_scanner
 {
 public:
-    /// Bytes of one event; beyond it the stream is refused.
+    /// Maximum bytes of one event; a longer event ends the attempt.
     static constexpr std::size_t max_event_bytes = 1'048'576;
 
-    /// Takes the next bytes and appends each event that is now whole to
-    /// `events`, with its closing empty line.
+    /// Scans the next bytes and appends each event that is now complete to
+    /// `events`, including its closing empty line.
     sse_scan_result feed(std::string_view bytes, std::string& events);
 
 private:
--- a/src/net/upstream_call.hpp
+++ b/src/net/upstream_call.hpp
@@ -12,7 +12,7 @@
 
 namespace caperjunction::net {
 
-/// Names a running call; the default names none.
+/// Identifies a running call; the default value identifies none.
 struct call_handle
 {
     std::uint64_t value = 0;
@@ -23,13 +23,13 @@
     }
 };
 
-/// How a call ended, as far as the connection tells.
+/// Result of a call on the connection level.
 enum class call_end : std::uint8_t
 {
     complete,
-    /// No connection came about: no byte was handed over.
+    /// No connection was established, so no byte was sent.
     unreachable,
-    /// The connection broke, went silent, or spoke something else.
+    /// The connection broke, timed out, or violated the protocol.
     broken,
 };
 
@@ -38,11 +38,11 @@
 {
     int status = 0;
     std::string content_type;
-    /// The answer says `caperjunction-outcome: not-run`.
+    /// The answer has the header `caperjunction-outcome: not-run`.
     bool not_run = false;
 };
 
-/// One request to an upstream.
+/// Request to an upstream.
 struct upstream_call
 {
     model::endpoint to;
@@ -50,18 +50,18 @@
     std::string path;
     std::vector<header> headers;
     std::string body;
-    /// Use no connection that has served before. For calls that may not be
-    /// repeated: a kept connection may be closed by the other end at any
-    /// moment, and then it can't be known whether the call ran.
+    /// Never reuse an idle connection. Set for calls that may not be
+    /// repeated: the peer may close an idle connection at any time, and
+    /// then it is unknown whether the call ran.
     bool needs_new_connection = false;
 };
 
-/// What the owner of a call is told; each may cancel the call.
+/// Callbacks of a call; each may cancel the call.
 struct call_hooks
 {
     std::function<void(call_head const&)> head;
     std::function<void(std::string_view bytes)> body;
-    /// Called once, last; not after a cancel.
+    /// Called exactly once, as the last callback; not after a cancel.
     std::function<void(call_end)> done;
 };
 
--- a/src/net/upstream_client.cpp
+++ b/src/net/upstream_client.cpp
@@ -15,7 +15,7 @@
 namespace caperjunction::net {
 namespace {
 
-// libevent's own limit would also cut long pauses that the sweep allows.
+// Disables libevent's own timeout, which would end pauses that sweep allows.
 constexpr int libevent_timeout_s = 24 * 3600;
 
 std::string key_of(model::endpoint const& to)
@@ -63,8 +63,8 @@
         evhttp_connection_free(call->connection);
     }
     for (auto& [key, idle] : m_idle) {
-        for (idle_connection const& entry : idle) {
-            evhttp_connection_free(entry.connection);
+        for (idle_connection const& idle_entry : idle) {
+            evhttp_connection_free(idle_entry.connection);
         }
     }
     for (evhttp_connection* const connection : m_dropped) {
@@ -77,9 +77,9 @@
 {
     auto& idle = m_idle[key_of(call.to)];
     if (!call.needs_new_connection && !idle.empty()) {
-        evhttp_connection* const entry = idle.back().connection;
+        evhttp_connection* const idle_entry = idle.back().connection;
         idle.pop_back();
-        return entry;
+        return idle_entry;
     }
     evhttp_connection* const created = evhttp_connection_base_new(
         m_loop.base(), nullptr, call.to.address.c_str(), call.to.port);
@@ -102,8 +102,8 @@
         evhttp_request_new(handle_done, running.get());
     evhttp_request_set_header_cb(request, handle_head);
     evhttp_request_set_chunked_cb(request, handle_bytes);
-    // Called only for connections that had come about; a refused connection
-    // goes straight to `handle_done`.
+    // Called only for established connections; a refused connection calls
+    // only `handle_done`.
     evhttp_request_set_error_cb(
         request, [](evhttp_request_error /*error*/, void* self) {
             static_cast<running_call*>(self)->failed = true;
@@ -136,8 +136,8 @@
     auto call = std::move(found->second);
     m_calls.erase(found);
     call->ended = true;
-    // libevent or a hook of this very call may be running now; it must not
-    // lose the ground it stands on.
+    // libevent or a hook of this call may be on the stack; the deferred copy
+    // keeps the call alive until it returns.
     m_loop.defer([call] {});
     return call;
 }
@@ -149,8 +149,8 @@
     }
 }
 
-// The caller may stand inside a callback of this connection, which libevent
-// doesn't allow to be freed there.
+// Deferred, because libevent doesn't allow a connection to be freed inside one
+// of its own callbacks.
 void upstream_client::drop(evhttp_connection* connection)
 {
     m_dropped.push_back(connection);
@@ -284,11 +284,11 @@
 {
     auto const now = m_loop.now();
     for (auto& [key, idle] : m_idle) {
-        // The oldest stand first: the newest is taken first and comes back
-        // to the end.
+        // Sorted by age, oldest first: connections are taken from the end
+        // and returned to the end.
         auto const first_recent = std::find_if(
-            idle.begin(), idle.end(), [now](idle_connection const& entry) {
-                return now - entry.since <= max_idle_time;
+            idle.begin(), idle.end(), [now](idle_connection const& idle_entry) {
+                return now - idle_entry.since <= max_idle_time;
             });
         for (auto old = idle.begin(); old != first_recent; ++old) {
             drop(old->connection);
--- a/src/net/upstream_client.hpp
+++ b/src/net/upstream_client.hpp
@@ -15,33 +15,33 @@
 
 namespace caperjunction::net {
 
-/// Time limits towards upstreams.
+/// Timeouts of calls to upstreams.
 struct upstream_timeouts
 {
-    /// From the call's start to a connection.
+    /// From the start of the call to the connection.
     model::milliseconds connect{1'000};
-    /// From the call's start to the answer's head.
+    /// From the start of the call to the head of the answer.
     model::milliseconds first_byte{30'000};
-    /// Between two stretches of an answer.
+    /// Between two parts of an answer.
     model::milliseconds progress{10'000};
 };
 
-/// Calls upstreams over a bounded number of kept connections.
+/// HTTP client for upstreams with a bounded pool of idle connections.
 ///
-/// Something between two hosts may lose track of an open connection: it goes
-/// silent for good while new ones work. One notices only that nothing comes.
-/// So silence ends the call and the connection, a connection that has idled
-/// is not used again, and the retry goes over a new one.
+/// A middlebox may lose its state of an open connection, which then stays
+/// silent while new connections work; the only symptom is that no data arrives.
+/// Therefore silence ends the call and its connection, a connection that was
+/// idle for `max_idle_time` is closed, and a retry uses another connection.
 ///
 /// Thread safety: none; owned by one task.
 class upstream_client
 {
 public:
-    /// Idle connections kept for each upstream.
+    /// Maximum idle connections per upstream.
     static constexpr std::size_t max_idle_connections = 64;
-    /// Shorter than the idle limit of common servers and middleboxes.
+    /// Shorter than the idle timeout of common servers and middleboxes.
     static constexpr model::milliseconds max_idle_time{8'000};
-    /// How often time limits are looked at.
+    /// Interval at which timeouts are checked.
     static constexpr model::milliseconds sweep_period{100};
 
     upstream_client(runtime::event_loop& loop, upstream_timeouts timeouts);
@@ -51,11 +51,11 @@
 
     call_handle start(upstream_call const& call, call_hooks hooks);
 
-    /// Ends the call; its hooks are not called any more.
+    /// Ends the call; no further hook is called.
     void cancel(call_handle call);
 
-    /// Stops or goes on reading an answer whose receiver is slow. A call
-    /// that is held back on purpose doesn't count as silent.
+    /// Pauses or resumes reading of an answer whose receiver is slow. The
+    /// progress timeout doesn't apply while paused.
     void set_paused(call_handle call, bool paused);
 
     std::size_t running() const
@@ -77,7 +77,7 @@
         bool answered = false;
         bool failed = false;
         bool paused = false;
-        /// Its owner has been told, or wants to hear no more.
+        /// The call has finished or was cancelled; no hook may be called.
         bool ended = false;
     };
 
@@ -106,7 +106,7 @@
     std::unordered_map<std::string, std::vector<idle_connection>> m_idle;
     std::uint64_t m_last_call = 0;
     runtime::timer_handle m_sweep;
-    // Connections that await their end outside of libevent's callbacks.
+    // Connections to be freed outside of libevent's callbacks.
     std::vector<evhttp_connection*> m_dropped;
 };
 
--- a/tests/fuzz/caller_request.cpp
+++ b/tests/fuzz/caller_request.cpp
@@ -1,5 +1,6 @@
-// Any bytes as the body of a caller's text request: read, or refused with a
-// remedy; and the body for the engine is one that reads the same again.
+// Parses arbitrary bytes as the body of a caller's text request. They are
+// either accepted or refused with a remedy, and the body for the engine parses
+// to the same request again.
 #include "net/caller_request.hpp"
 #include "model/error.hpp"
 
--- a/tests/fuzz/peer_frame.cpp
+++ b/tests/fuzz/peer_frame.cpp
@@ -1,7 +1,7 @@
-// Bytes as a frame from a peer: refused, or a message that survives being
-// encoded and decoded. Random bytes hardly ever pass the layout's check, so
-// the input's first byte picks a message and the rest alters its frame; 255
-// takes the rest as it is.
+// Decodes arbitrary bytes as a frame from a peer. They are either refused or
+// give a message that survives encoding and decoding. Random bytes hardly ever
+// pass the verifier, so the first byte of the input selects a sample message
+// and the rest modifies its frame; 255 uses the rest unchanged.
 #include "model/error.hpp"
 #include "net/peer_codec.hpp"
 
--- a/tests/fuzz/sse_stream.cpp
+++ b/tests/fuzz/sse_stream.cpp
@@ -1,5 +1,6 @@
-// Any bytes as an engine's stream: how they are cut into reads must make no
-// difference, and nothing is passed on that did not come.
+// Scans arbitrary bytes as an engine's stream. The result must not depend on
+// how the bytes are split into reads, and the output must not be longer than
+// the input.
 #include "net/answer_assembler.hpp"
 #include "net/sse_scanner.hpp"
 
--- a/tests/net/hand_over_test.cpp
+++ b/tests/net/hand_over_test.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// What the deciding task of a host would do, as far as these cases need it.
+/// A relay, in place of a complete host.
 struct relay_host
 {
     std::string name;
@@ -28,8 +28,9 @@
     std::vector<net::relay_report> reports;
 };
 
-/// Two relays that pass hand-overs to each other: the first hands all over,
-/// the second does what `serve` says.
+/// Two relays that exchange hand-over messages. The test acts as the task that
+/// decides: the first relay hands over every request, the second serves or
+/// refuses it according to `serve`.
 class relay_pair
 {
 public:
@@ -84,7 +85,7 @@
         return body;
     }
 
-    void hang_up()
+    void disconnect()
     {
         m_client.cancel(m_call);
     }
@@ -116,7 +117,7 @@
 
 public:
     stand_ins::engine engine;
-    /// Whether the second host serves what it is given.
+    /// Whether the second host serves handed-over requests.
     bool serve = true;
     bool ended = false;
     int status = 0;
@@ -218,7 +219,7 @@
 
 } // namespace
 
-TEST_CASE("an answer of another host reaches the caller whole")
+TEST_CASE("the caller receives the complete answer of the serving host")
 {
     relay_pair pair;
     std::string const body = pair.chat(30);
@@ -230,9 +231,9 @@
     }));
 }
 
-// The other host was asked because it looked idle, and is not any more. The
-// caller must hear from its own host; nothing of its request has run.
-TEST_CASE("a hand-over that is refused comes back to its host")
+// The other host looked idle when it was chosen, but is full by now. The
+// caller receives the answer of its own host; its request has not run.
+TEST_CASE("a refused hand-over returns to the host that sent it")
 {
     relay_pair pair;
     pair.serve = false;
@@ -244,8 +245,9 @@
     CHECK(pair.running(1) == 0);
 }
 
-// The host that serves dies in mid-answer. The caller has part of it; that
-// part must not pass for the whole, and the caller must not wait for ever.
+// The serving host crashes in the middle of an answer. The caller has received
+// a part, which must not look like a complete answer, and the caller must not
+// wait forever.
 TEST_CASE("the loss of the serving host ends the answer with an error")
 {
     relay_pair pair;
@@ -263,9 +265,9 @@
     CHECK(body.find("serving_host_lost") != std::string::npos);
 }
 
-// The caller hangs up at its own host. The other one, and the engine behind
-// it, would go on with work that nobody wants.
-TEST_CASE("a caller that hangs up cancels at the host that serves it")
+// The caller disconnects from its own host. Without a cancellation, the serving
+// host and its engine continue to generate an unwanted answer.
+TEST_CASE("a caller's disconnect cancels the request on the serving host")
 {
     relay_pair pair;
     bool disconnected = false;
@@ -273,7 +275,7 @@
         if (!disconnected && tokens_in(pair.body) >= 3) {
             disconnected = true;
             pair.ended = true;
-            pair.hang_up();
+            pair.disconnect();
         }
     };
     pair.chat(1000);
--- a/tests/net/peer_codec_test.cpp
+++ b/tests/net/peer_codec_test.cpp
@@ -22,7 +22,7 @@
 fleet::claim_attempt const attempt{"otaru-1", 7, 3};
 fleet::claim_key const key{11, 12};
 
-/// One of each kind, with no field at its default.
+/// One frame of each kind, with no field at its default value.
 std::vector<peer_frame> one_of_each()
 {
     using namespace fleet;
@@ -84,7 +84,7 @@
 
 } // namespace
 
-TEST_CASE("every message comes out of its frame as it went in")
+TEST_CASE("every message survives encoding and decoding")
 {
     for (peer_frame const& frame : one_of_each()) {
         std::string const bytes = net::encode(frame);
@@ -94,7 +94,7 @@
     }
 }
 
-TEST_CASE("values that a frame can hold are compared field by field")
+TEST_CASE("decoded heartbeats and config values equal the originals")
 {
     auto const frames = one_of_each();
     auto const beat = decode_framed(net::encode(frames[5]));
@@ -111,10 +111,10 @@
     CHECK(read.deltas[0] == fleet::delta{18, 21, 22, "text"});
 }
 
-// A field was added to a vote and left out of the frame. Both ends agreed on
-// what they sent, so that reading and writing back showed nothing; but no
-// vote counted, and every booking of the fleet was refused.
-TEST_CASE("a claim's reply and its votes arrive with every field")
+// Guards against a field of a vote that is missing from the frame. Encoding and
+// decoding again doesn't show it, because both directions omit the field; but
+// no vote counts, and every booking of the fleet is refused.
+TEST_CASE("claim replies and votes keep every field")
 {
     fleet::claim_reply sent{key, attempt, fleet::claim_status::granted};
     sent.vote = true;
@@ -124,7 +124,7 @@
         net::encode(fleet::peer_message(fleet::claim_message(sent))));
     auto const& read = std::get<fleet::claim_reply>(
         std::get<fleet::claim_message>(std::get<fleet::peer_message>(reply)));
-    // Naming all fields ends the build when there is one more.
+    // The structured binding fails to compile when a field is added.
     auto const& [read_key,
                  read_attempt,
                  status,
@@ -148,10 +148,10 @@
     CHECK(state == fleet::claim_state::running);
     CHECK(fingerprint == 0);
 
-    fleet::claim_transfer given;
-    given.votes = {{1, 2, 3}};
+    fleet::claim_transfer sent_transfer;
+    sent_transfer.votes = {{1, 2, 3}};
     auto const transfer = decode_framed(
-        net::encode(fleet::peer_message(fleet::claim_message(given))));
+        net::encode(fleet::peer_message(fleet::claim_message(sent_transfer))));
     auto const& read_transfer =
         std::get<fleet::claim_transfer>(std::get<fleet::claim_message>(
             std::get<fleet::peer_message>(transfer)));
@@ -162,7 +162,7 @@
     CHECK(vote_origin == 3);
 }
 
-TEST_CASE("revisions that are all in force are sent once")
+TEST_CASE("equal latest and in-force revisions are encoded once")
 {
     fleet::heartbeat beat;
     beat.generation = 1;
@@ -175,13 +175,13 @@
     CHECK(bytes.size() < net::encode(fleet::peer_message(beat)).size());
 }
 
-TEST_CASE("a damaged frame is a typed error and nothing else")
+TEST_CASE("a corrupt frame only raises a bad_request error")
 {
-    // A peer of another version, or anything that reaches the port, sends
-    // bytes that are no frame. Read on trust, a length in them would lead
-    // outside of the buffer and end the process with all its requests.
+    // A peer of another version, or any process that reaches the port, may
+    // send invalid bytes. Without validation, a length in them points outside
+    // of the buffer and crashes the process with all its requests.
     auto const frames = one_of_each();
-    CHECK(rc::check("damaged frames never read outside", [&] {
+    CHECK(rc::check("corrupt frames are never read out of bounds", [&] {
         auto const index = *rc::gen::inRange<std::size_t>(0, frames.size());
         std::string bytes = net::encode(frames[index]);
         auto const damages = *rc::gen::inRange(1, 6);
@@ -202,10 +202,10 @@
     }));
 }
 
-TEST_CASE("a number beyond an enumeration is refused")
+TEST_CASE("an out-of-range enumerator is rejected")
 {
-    // A later version knows a fifth published value. Used as an index here,
-    // its number would read past the end of an array.
+    // A later version may define a fifth published value. Used as an index,
+    // its number reads past the end of an array.
     fleet::config_fetch fetch;
     fetch.value = static_cast<fleet::published_value>(4);
     fetch.wanted = 1;
--- a/tests/net/peer_link_test.cpp
+++ b/tests/net/peer_link_test.cpp
@@ -24,7 +24,7 @@
 
 constexpr char const* secret = "a secret of enough bytes";
 
-/// One end of the link and what came out of it.
+/// One end of the link, with the signals that it emitted.
 struct peer
 {
     peer(runtime::event_loop& loop,
@@ -62,10 +62,11 @@
     std::vector<model::error_kind> failed;
 };
 
-/// A loop whose clock the test advances; the kernel's sockets are real.
+/// Event loop with a manual clock and real sockets.
 struct fixture
 {
-    /// Lets real socket events happen until `done`; false if they don't.
+    /// Polls real socket events until `done`; returns false if that never
+    /// happens.
     bool run_until(std::function<bool()> const& done)
     {
         constexpr int max_polls = 20'000;
@@ -108,7 +109,7 @@
 
 } // namespace
 
-TEST_CASE("messages arrive whole and in order, both ways")
+TEST_CASE("messages arrive complete and in order in both directions")
 {
     fixture net;
     peer left(net.loop, "a");
@@ -128,7 +129,7 @@
     }
 }
 
-TEST_CASE("a body of several megabytes passes in one frame")
+TEST_CASE("a body of several megabytes fits into one frame")
 {
     fixture net;
     peer left(net.loop, "a");
@@ -145,10 +146,10 @@
     CHECK(read == request);
 }
 
-TEST_CASE("a host with another secret is refused at both ends")
+TEST_CASE("a host with a different secret is refused at both ends")
 {
-    // A process of another fleet, or a stranger, reaches the peer port. It
-    // must not be able to hand requests over or to collect them.
+    // A process of another fleet, or an unknown one, reaches the peer port.
+    // It must not be able to hand over or receive requests.
     fixture net;
     peer left(net.loop, "a");
     peer right(net.loop, "b", "another secret of many bytes");
@@ -163,10 +164,10 @@
     CHECK(right.failed.at(0) == model::error_kind::unauthenticated);
 }
 
-TEST_CASE("a host that the platform doesn't list is refused")
+TEST_CASE("a host that the platform does not list is refused")
 {
     // A host that was taken out of service still knows the secret. Its view
-    // is old, and nothing of it may reach the fleet.
+    // is outdated and must not reach the fleet.
     fixture net;
     peer left(net.loop, "a");
     peer right(net.loop, "b");
@@ -180,7 +181,7 @@
     CHECK_FALSE(right.link->send("a", fleet::probe{1}));
 }
 
-TEST_CASE("a host that is unlisted loses its connections")
+TEST_CASE("removing a host from the list closes its connections")
 {
     fixture net;
     peer left(net.loop, "a");
@@ -198,21 +199,21 @@
     CHECK_FALSE(left.link->send("b", fleet::probe{1}));
 }
 
-TEST_CASE("a connection that goes silent is replaced by a fresh one")
+TEST_CASE("a silent connection is replaced by a new one")
 {
-    // A box between two hosts forgets a connection. It stays open and
-    // carries nothing, while new ones work. Messages on it would be lost
-    // for good, and nobody told.
+    // A middlebox loses its state of a connection, which stays open but
+    // carries no data, while new connections work. Without detection, all
+    // messages on it are lost without an error.
     fixture net;
     peer left(net.loop, "a");
-    // The far end's loop stands still: its connections are open and silent.
-    fixture far;
-    auto right = std::make_unique<peer>(far.loop, "b");
+    // The peer's loop is not polled: its connections are open and silent.
+    fixture remote;
+    auto right = std::make_unique<peer>(remote.loop, "b");
     left.link->set_hosts({left.host, right->host});
     right->link->set_hosts({left.host, right->host});
     left.link->set_persistent_peers({"b"});
     auto const both = [&] {
-        far.loop.poll();
+        remote.loop.poll();
         return left.connected.size() == 1;
     };
     REQUIRE(net.run_until(both));
@@ -222,32 +223,33 @@
     CHECK(left.link->counters().silent_connections == 0);
     net.advance(500ms);
     CHECK(left.link->counters().silent_connections == 1);
-    // The far end works again before the fresh connection's time is over.
+    // The peer runs again before the new connection times out.
     REQUIRE(net.run_until([&] {
-        far.loop.poll();
+        remote.loop.poll();
         return left.connected.size() == 2;
     }));
     CHECK(left.disconnected.empty());
     left.link->send("b", fleet::probe{5});
     REQUIRE(net.run_until([&] {
-        far.loop.poll();
+        remote.loop.poll();
         return !right->received.empty();
     }));
 }
 
-TEST_CASE("a far end that takes no fresh connection is disconnected")
+TEST_CASE("a peer that accepts no new connection is reported as disconnected")
 {
-    // The far end itself is stopped, not only a connection to it. After the
-    // silent connection a fresh one fails too; only then is it given up.
+    // The peer itself is stopped, not only a connection to it. After the
+    // silent connection a new one fails too; only then is the peer reported
+    // as disconnected.
     fixture net;
-    fixture far;
+    fixture remote;
     peer left(net.loop, "a");
-    peer right(far.loop, "b");
+    peer right(remote.loop, "b");
     left.link->set_hosts({left.host, right.host});
     right.link->set_hosts({left.host, right.host});
     left.link->set_persistent_peers({"b"});
     REQUIRE(net.run_until([&] {
-        far.loop.poll();
+        remote.loop.poll();
         return left.connected.size() == 1;
     }));
     net.advance(4s);
@@ -256,9 +258,9 @@
     CHECK(left.disconnected == std::vector<std::string>{"b"});
 }
 
-TEST_CASE("a host that comes back at another port is found")
+TEST_CASE("a host that returns on another port is reconnected")
 {
-    // A host is replaced under its name, at another address.
+    // A host is replaced by one with the same name and another address.
     fixture net;
     peer left(net.loop, "a");
     auto right = std::make_unique<peer>(net.loop, "b");
@@ -277,37 +279,37 @@
     }));
 }
 
-TEST_CASE("a peer that does not read costs a bounded amount of memory")
+TEST_CASE("the queue to a peer that does not read is bounded")
 {
-    // A peer is stopped in the middle of a burst. Without a bound, what is
-    // meant for it fills the memory of every other host.
+    // A peer is stopped in the middle of a burst. Without a limit, messages
+    // to it fill the memory of every other host.
     fixture net;
-    fixture far;
+    fixture remote;
     peer left(net.loop, "a");
-    peer right(far.loop, "b");
+    peer right(remote.loop, "b");
     left.link->set_hosts({left.host, right.host});
     right.link->set_hosts({left.host, right.host});
     left.link->set_persistent_peers({"b"});
     REQUIRE(net.run_until([&] {
-        far.loop.poll();
+        remote.loop.poll();
         return left.connected.size() == 1;
     }));
     fleet::hand_over_chunk chunk;
     chunk.bytes = std::string(1'000'000, 'x');
-    std::size_t taken = 0;
-    while (taken < 100 && left.link->send("b", chunk)) {
-        ++taken;
+    std::size_t accepted = 0;
+    while (accepted < 100 && left.link->send("b", chunk)) {
+        ++accepted;
         net.loop.poll();
     }
-    CHECK(taken < 100);
+    CHECK(accepted < 100);
     CHECK(left.link->counters().full_queues == 1);
     CHECK(left.link->queued_bytes("b") <= std::size_t{16} * 1024 * 1024);
 }
 
-TEST_CASE("bytes that are no frames end the connection and are counted")
+TEST_CASE("invalid frames close the connection and are counted")
 {
-    // A port scanner, or a client that has the wrong port, connects. It must
-    // neither be served nor end the process.
+    // A port scanner, or a client with the wrong port, connects. It must
+    // neither be served nor crash the process.
     fixture net;
     peer right(net.loop, "b");
     net::peer_link_counters counters;
@@ -337,10 +339,10 @@
     CHECK(right.failed.size() == 3);
 }
 
-TEST_CASE("a recorded hello is worth nothing a second time")
+TEST_CASE("a replayed hello is rejected")
 {
-    // Someone who could listen sends a host's hello once more. The challenge
-    // is another one by then.
+    // An eavesdropper sends a recorded hello again. The proof is invalid,
+    // because the challenge differs by then.
     net::peer_handshake first{{1}, {2}, "a", "b"};
     auto const proof = net::make_proof(secret, net::proof_side::dialer, first);
     auto other = first;
@@ -352,7 +354,7 @@
     CHECK(net::make_nonce() != net::make_nonce());
 }
 
-TEST_CASE("a short secret and a bad address end the start")
+TEST_CASE("a short secret or an invalid listen address is rejected")
 {
     fixture net;
     CHECK_THROWS_AS(peer(net.loop, "a", "short"), model::error);
--- a/tests/net/read_ahead_test.cpp
+++ b/tests/net/read_ahead_test.cpp
@@ -49,10 +49,10 @@
 
 } // namespace
 
-// A client library keeps a connection busy and sends its next request before
-// the answer to the first has come. libevent would end the process, and with
-// it the answers of everyone else on this host.
-TEST_CASE("a request sent ahead waits and does not end the process")
+// A client library may send its next request before the answer to the first
+// one (pipelining). Without read_ahead, libevent aborts the process, and with
+// it all other answers of this host.
+TEST_CASE("a pipelined request waits and does not abort the process")
 {
     runtime::event_loop loop;
     int arrived = 0;
@@ -66,7 +66,7 @@
                                [&hung_up](model::request_id) {
                                    ++hung_up;
                                }});
-    server.use(make_catalogue());
+    server.set_catalogue(make_catalogue());
     bufferevent* const client =
         bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE);
     sockaddr_in to{};
