--- a/src/net/caller_server.cpp
+++ b/src/net/caller_server.cpp
@@ -151,8 +151,8 @@
     evhttp_connection* const connection = evhttp_request_get_connection(caller);
     bufferevent* const stream = evhttp_connection_get_bufferevent(connection);
     timeval const limit = to_timeval(m_settings.caller_timeout);
-    // A caller that waits for its answer sends nothing, so reads never time
-    // out.
+    // Reads have no timeout, because a caller that waits for its answer sends
+    // nothing.
     bufferevent_set_timeouts(stream, nullptr, &limit);
     begin_read_ahead(stream);
     connection_watch& created = m_watches[connection];
--- a/src/net/peer_link.cpp
+++ b/src/net/peer_link.cpp
@@ -82,7 +82,7 @@
 
     void tick()
     {
-        // A signal handler may unlist a host; the copy keeps its dialer alive
+        // A slot of a signal may unlist a host; the copy keeps its dialer alive
         // until the call returns.
         auto const current = dialers;
         for (auto const& [host, dialer] : current) {
