--- a/src/net/engine_reader.hpp
+++ b/src/net/engine_reader.hpp
@@ -16,15 +16,15 @@
 
 namespace caperjunction::net {
 
-/// Asks engines for their load and for what their prefix caches gained and
-/// lost, one engine after the other, at a bounded rate.
+/// Polls engines for their load and their prefix cache events, one engine
+/// after the other, at a bounded rate.
 ///
 /// Thread safety: none; owned by one task.
 class engine_reader
 {
 public:
-    /// Between two calls; with two calls an engine, twelve engines are each
-    /// heard every half a second.
+    /// Interval between two calls. Each engine takes two calls, so twelve
+    /// engines are each polled about every 0.5 s.
     static constexpr model::milliseconds call_period{20};
 
     explicit engine_reader(runtime::event_loop& loop);
@@ -43,16 +43,17 @@
         std::string name;
         model::endpoint address;
         std::uint64_t sequence = 0;
-        bool asked = false;
+        bool requested = false;
     };
 
-    using taker = void (engine_reader::*)(std::string const& name,
-                                          std::string const& body);
+    using body_handler = void (engine_reader::*)(std::string const& name,
+                                                 std::string const& body);
 
-    void ask_next();
-    void ask(known_engine& engine, std::string path, taker take);
-    void take_load(std::string const& name, std::string const& body);
-    void take_cache(std::string const& name, std::string const& body);
+    void request_next();
+    void
+    start_request(known_engine& engine, std::string path, body_handler handler);
+    void handle_load(std::string const& name, std::string const& body);
+    void handle_cache_events(std::string const& name, std::string const& body);
     known_engine* find(std::string const& name);
 
     runtime::event_loop& m_loop;
--- a/src/net/peer_write.hpp
+++ b/src/net/peer_write.hpp
@@ -11,14 +11,14 @@
 
 namespace caperjunction::net {
 
-/// A finished table that can stand in a frame.
+/// Finished table that can be the body of a frame.
 struct written_body
 {
     wire::Body type = wire::Body::NONE;
     flatbuffers::Offset<void> offset;
 };
 
-/// Writes one message as a table. Private to the codec.
+/// Serializes one message as a table. Private to the codec.
 ///
 /// Thread safety: none; the builder belongs to one call.
 class peer_writer
@@ -75,7 +75,7 @@
     bytes_offset bytes(std::string_view value);
     bytes_offset bytes(std::vector<std::uint8_t> const& value);
     tables_offset<wire::Rumour>
-    rumours(std::vector<fleet::membership_update> const& values);
+    membership_updates(std::vector<fleet::membership_update> const& values);
     tables_offset<wire::Field>
     fields(std::vector<fleet::header_field> const& values);
     flatbuffers::Offset<wire::Attempt>
--- a/tests/net/peer_link_test.cpp
+++ b/tests/net/peer_link_test.cpp
@@ -24,7 +24,7 @@
 
 constexpr char const* secret = "a secret of enough bytes";
 
-/// One end of the link and what came out of it.
+/// One end of the link, with the signals that it emitted.
 struct peer
 {
     peer(runtime::event_loop& loop,
@@ -62,20 +62,21 @@
     std::vector<model::error_kind> failed;
 };
 
-/// A loop whose clock the test advances; the kernel's sockets are real.
+/// Event loop with a manual clock and real sockets.
 struct fixture
 {
-    /// Lets real socket events happen until `done`; false if they don't.
-    bool until(std::function<bool()> const& done)
+    /// Polls real socket events until `done`; returns false if that never
+    /// happens.
+    bool run_until(std::function<bool()> const& done)
     {
-        constexpr int most_polls = 20'000;
-        for (int poll = 0; poll < most_polls && !done(); ++poll) {
+        constexpr int max_polls = 20'000;
+        for (int poll = 0; poll < max_polls && !done(); ++poll) {
             loop.poll();
         }
         return done();
     }
 
-    void pass(model::milliseconds time)
+    void advance(model::milliseconds time)
     {
         for (auto passed = 0ms; passed < time; passed += 100ms) {
             clock.advance(100ms);
@@ -89,7 +90,7 @@
     runtime::event_loop loop{clock.as_clock()};
 };
 
-void introduce(std::vector<peer*> const& peers)
+void exchange_host_lists(std::vector<peer*> const& peers)
 {
     std::vector<model::host> hosts;
     hosts.reserve(peers.size());
@@ -101,43 +102,43 @@
     }
 }
 
-fleet::load_digest numbered(std::uint64_t number)
+fleet::load_digest make_digest(std::uint64_t number)
 {
     return {"a", number, 0, {1, 2, 3}};
 }
 
 } // namespace
 
-TEST_CASE("messages arrive whole and in order, both ways")
+TEST_CASE("messages arrive complete and in order in both directions")
 {
     fixture net;
     peer left(net.loop, "a");
     peer right(net.loop, "b");
-    introduce({&left, &right});
+    exchange_host_lists({&left, &right});
     for (std::uint64_t number = 1; number <= 100; ++number) {
-        CHECK(left.link->send("b", numbered(number)));
+        CHECK(left.link->send("b", make_digest(number)));
     }
     CHECK(right.link->send("a", fleet::probe{7}));
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right.received.size() == 100 && left.received.size() == 1;
     }));
-    for (std::size_t place = 0; place < 100; ++place) {
-        CHECK(right.received[place].first == "a");
-        CHECK(std::get<fleet::load_digest>(right.received[place].second)
-              == numbered(place + 1));
+    for (std::size_t index = 0; index < 100; ++index) {
+        CHECK(right.received[index].first == "a");
+        CHECK(std::get<fleet::load_digest>(right.received[index].second)
+              == make_digest(index + 1));
     }
 }
 
-TEST_CASE("a body of several megabytes passes in one frame")
+TEST_CASE("a body of several megabytes fits into one frame")
 {
     fixture net;
     peer left(net.loop, "a");
     peer right(net.loop, "b");
-    introduce({&left, &right});
+    exchange_host_lists({&left, &right});
     fleet::hand_over_request request;
     request.body = std::string(8'000'000, 'x');
     CHECK(left.link->send("b", request));
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right.received.size() == 1;
     }));
     auto const& read =
@@ -145,169 +146,170 @@
     CHECK(read == request);
 }
 
-TEST_CASE("a host with another secret is refused at both ends")
+TEST_CASE("a host with a different secret is refused at both ends")
 {
-    // A process of another fleet, or a stranger, reaches the peer port. It
-    // must not be able to hand requests over or to collect them.
+    // A process of another fleet, or an unknown one, reaches the peer port.
+    // It must not be able to hand over or receive requests.
     fixture net;
     peer left(net.loop, "a");
     peer right(net.loop, "b", "another secret of many bytes");
-    introduce({&left, &right});
+    exchange_host_lists({&left, &right});
     left.link->send("b", fleet::probe{1});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right.link->counters().refused_handshakes == 1;
     }));
-    net.pass(3s);
+    net.advance(3s);
     CHECK(right.received.empty());
     CHECK(left.connected.empty());
     CHECK(right.failed.at(0) == model::error_kind::unauthenticated);
 }
 
-TEST_CASE("a host that the platform doesn't list is refused")
+TEST_CASE("a host that the platform does not list is refused")
 {
     // A host that was taken out of service still knows the secret. Its view
-    // is old, and nothing of it may reach the fleet.
+    // is outdated and must not reach the fleet.
     fixture net;
     peer left(net.loop, "a");
     peer right(net.loop, "b");
     left.link->set_hosts({left.host, right.host});
     right.link->set_hosts({right.host});
     left.link->send("b", fleet::probe{1});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right.link->counters().refused_handshakes == 1;
     }));
     CHECK(right.received.empty());
     CHECK_FALSE(right.link->send("a", fleet::probe{1}));
 }
 
-TEST_CASE("a host that is unlisted loses its connections")
+TEST_CASE("removing a host from the list closes its connections")
 {
     fixture net;
     peer left(net.loop, "a");
     peer right(net.loop, "b");
-    introduce({&left, &right});
+    exchange_host_lists({&left, &right});
     left.link->send("b", fleet::probe{1});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right.received.size() == 1;
     }));
     right.link->set_hosts({right.host});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return !left.link->is_connected("b");
     }));
     left.link->set_hosts({left.host});
     CHECK_FALSE(left.link->send("b", fleet::probe{1}));
 }
 
-TEST_CASE("a connection that goes silent is replaced by a fresh one")
+TEST_CASE("a silent connection is replaced by a new one")
 {
-    // A box between two hosts forgets a connection. It stays open and
-    // carries nothing, while new ones work. Messages on it would be lost
-    // for good, and nobody told.
+    // A middlebox loses its state of a connection, which stays open but
+    // carries no data, while new connections work. Without detection, all
+    // messages on it are lost without an error.
     fixture net;
     peer left(net.loop, "a");
-    // The far end's loop stands still: its connections are open and silent.
-    fixture far;
-    auto right = std::make_unique<peer>(far.loop, "b");
+    // The peer's loop is not polled: its connections are open and silent.
+    fixture remote;
+    auto right = std::make_unique<peer>(remote.loop, "b");
     left.link->set_hosts({left.host, right->host});
     right->link->set_hosts({left.host, right->host});
     left.link->set_persistent_peers({"b"});
     auto const both = [&] {
-        far.loop.poll();
+        remote.loop.poll();
         return left.connected.size() == 1;
     };
-    REQUIRE(net.until(both));
+    REQUIRE(net.run_until(both));
     for (int step = 0; step < 29; ++step) {
-        net.pass(100ms);
+        net.advance(100ms);
     }
     CHECK(left.link->counters().silent_connections == 0);
-    net.pass(500ms);
+    net.advance(500ms);
     CHECK(left.link->counters().silent_connections == 1);
-    // The far end works again before the fresh connection's time is over.
-    REQUIRE(net.until([&] {
-        far.loop.poll();
+    // The peer runs again before the new connection times out.
+    REQUIRE(net.run_until([&] {
+        remote.loop.poll();
         return left.connected.size() == 2;
     }));
     CHECK(left.disconnected.empty());
     left.link->send("b", fleet::probe{5});
-    REQUIRE(net.until([&] {
-        far.loop.poll();
+    REQUIRE(net.run_until([&] {
+        remote.loop.poll();
         return !right->received.empty();
     }));
 }
 
-TEST_CASE("a far end that takes no fresh connection is disconnected")
+TEST_CASE("a peer that accepts no new connection is reported as disconnected")
 {
-    // The far end itself is stopped, not only a connection to it. After the
-    // silent connection a fresh one fails too; only then is it given up.
+    // The peer itself is stopped, not only a connection to it. After the
+    // silent connection a new one fails too; only then is the peer reported
+    // as disconnected.
     fixture net;
-    fixture far;
+    fixture remote;
     peer left(net.loop, "a");
-    peer right(far.loop, "b");
+    peer right(remote.loop, "b");
     left.link->set_hosts({left.host, right.host});
     right.link->set_hosts({left.host, right.host});
     left.link->set_persistent_peers({"b"});
-    REQUIRE(net.until([&] {
-        far.loop.poll();
+    REQUIRE(net.run_until([&] {
+        remote.loop.poll();
         return left.connected.size() == 1;
     }));
-    net.pass(4s);
+    net.advance(4s);
     CHECK(left.disconnected.empty());
-    net.pass(3s);
+    net.advance(3s);
     CHECK(left.disconnected == std::vector<std::string>{"b"});
 }
 
-TEST_CASE("a host that comes back at another port is found")
+TEST_CASE("a host that returns on another port is reconnected")
 {
-    // A host is replaced under its name, at another address.
+    // A host is replaced by one with the same name and another address.
     fixture net;
     peer left(net.loop, "a");
     auto right = std::make_unique<peer>(net.loop, "b");
-    introduce({&left, right.get()});
+    exchange_host_lists({&left, right.get()});
     left.link->set_persistent_peers({"b"});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return left.connected.size() == 1;
     }));
     right = std::make_unique<peer>(net.loop, "b");
-    introduce({&left, right.get()});
-    net.pass(2s);
+    exchange_host_lists({&left, right.get()});
+    net.advance(2s);
     CHECK(left.link->is_connected("b"));
     left.link->send("b", fleet::probe{6});
-    REQUIRE(net.until([&] {
+    REQUIRE(net.run_until([&] {
         return right->received.size() == 1;
     }));
 }
 
-TEST_CASE("a peer that does not read costs a bounded amount of memory")
+TEST_CASE("the queue to a peer that does not read is bounded")
 {
-    // A peer is stopped in the middle of a burst. Without a bound, what is
-    // meant for it fills the memory of every other host.
+    // A peer is stopped in the middle of a burst. Without a limit, messages
+    // to it fill the memory of every other host.
     fixture net;
-    fixture far;
+    fixture remote;
     peer left(net.loop, "a");
-    peer right(far.loop, "b");
+    peer right(remote.loop, "b");
     left.link->set_hosts({left.host, right.host});
     right.link->set_hosts({left.host, right.host});
     left.link->set_persistent_peers({"b"});
-    REQUIRE(net.until([&] {
-        far.loop.poll();
+    REQUIRE(net.run_until([&] {
+        remote.loop.poll();
         return left.connected.size() == 1;
     }));
     fleet::hand_over_chunk chunk;
     chunk.bytes = std::string(1'000'000, 'x');
-    std::size_t taken = 0;
-    while (taken < 100 && left.link->send("b", chunk)) {
-        ++taken;
+    std::size_t accepted = 0;
+    while (accepted < 100 && left.link->send("b", chunk)) {
+        ++accepted;
         net.loop.poll();
     }
-    CHECK(taken < 100);
+    CHECK(accepted < 100);
     CHECK(left.link->counters().full_queues == 1);
     CHECK(left.link->queued_bytes("b") <= std::size_t{16} * 1024 * 1024);
 }
 
-TEST_CASE("bytes that are no frames end the connection and are counted")
+TEST_CASE("invalid frames close the connection and are counted")
 {
-    // A port scanner, or a client that has the wrong port, connects. It must
-    // neither be served nor end the process.
+    // A port scanner, or a client with the wrong port, connects. It must
+    // neither be served nor crash the process.
     fixture net;
     peer right(net.loop, "b");
     net::peer_link_counters counters;
@@ -315,7 +317,7 @@
          {std::string("GET / HTTP/1.1\r\n\r\n"),
           std::string("\x04\x00\x00\x00\xff\xff\xff\xff", 8),
           net::encode(fleet::peer_message(fleet::probe{1}))}) {
-        auto const stranger = std::make_shared<net::peer_connection>(
+        auto const client = std::make_shared<net::peer_connection>(
             bufferevent_socket_new(net.loop.base(), -1, BEV_OPT_CLOSE_ON_FREE),
             counters);
         bool ended = false;
@@ -324,10 +326,10 @@
         calls.ended = [&](model::error const*) {
             ended = true;
         };
-        stranger->open(calls);
-        REQUIRE(stranger->connect(right.host.peers));
-        stranger->send(bytes);
-        CHECK(net.until([&] {
+        client->open(calls);
+        REQUIRE(client->connect(right.host.peers));
+        client->send(bytes);
+        CHECK(net.run_until([&] {
             return ended;
         }));
     }
@@ -337,10 +339,10 @@
     CHECK(right.failed.size() == 3);
 }
 
-TEST_CASE("a recorded hello is worth nothing a second time")
+TEST_CASE("a replayed hello is rejected")
 {
-    // Someone who could listen sends a host's hello once more. The challenge
-    // is another one by then.
+    // An eavesdropper sends a recorded hello again. The proof is invalid,
+    // because the challenge differs by then.
     net::peer_handshake first{{1}, {2}, "a", "b"};
     auto const proof = net::make_proof(secret, net::proof_side::dialer, first);
     auto other = first;
@@ -352,7 +354,7 @@
     CHECK(net::make_nonce() != net::make_nonce());
 }
 
-TEST_CASE("a short secret and a bad address end the start")
+TEST_CASE("a short secret or an invalid listen address is rejected")
 {
     fixture net;
     CHECK_THROWS_AS(peer(net.loop, "a", "short"), model::error);
