--- a/tests/fuzz/sse_stream.cpp
+++ b/tests/fuzz/sse_stream.cpp
@@ -1,5 +1,6 @@
-// Any bytes as an engine's stream: how they are cut into reads must make no
-// difference, and nothing is passed on that did not come.
+// Scans arbitrary bytes as an engine's stream. The result must not depend on
+// how the bytes are split into reads, and the output must not be longer than
+// the input.
 #include "net/answer_assembler.hpp"
 #include "net/sse_scanner.hpp"
 
@@ -45,14 +46,14 @@
     if (stream.empty()) {
         return 0;
     }
-    outcome const whole = scan(stream, stream.size());
-    bool const same =
-        whole == scan(stream, 1) && whole.events.size() <= stream.size();
+    outcome const single_read = scan(stream, stream.size());
+    bool const same = single_read == scan(stream, 1)
+                      && single_read.events.size() <= stream.size();
     if (!same) {
         std::abort();
     }
     net::answer_assembler assembler;
-    if (assembler.add(whole.events)) {
+    if (assembler.add(single_read.events)) {
         assembler.finish();
     }
     return 0;
