--- a/src/main.cpp
+++ b/src/main.cpp
@@ -7,12 +7,12 @@
 #include <cstdio>
 #include <exception>
 
-int main(int count, char** words)
+int main(int argc, char** argv)
 {
     constexpr int bad_start = 2;
     try {
         return caperjunction::program::run_command(
-            caperjunction::program::read_command_line(count, words));
+            caperjunction::program::read_command_line(argc, argv));
     } catch (caperjunction::model::error const& failure) {
         fmt::print(stderr,
                    "event=failed kind={} message=\"{}\" remedy=\"{}\"\n",
@@ -22,7 +22,7 @@
     } catch (std::exception const& failure) {
         fmt::print(stderr,
                    "event=failed kind=unavailable message=\"{}\" "
-                   "remedy=\"report this with the log\"\n",
+                   "remedy=\"report this error with the log\"\n",
                    failure.what());
     }
     return bad_start;
--- a/src/program/bookings.cpp
+++ b/src/program/bookings.cpp
@@ -9,10 +9,11 @@
 namespace caperjunction::program {
 namespace {
 
-// The relay gets a confirmed call within microseconds; if not, it slept.
+// The relay receives a confirmed call within microseconds. A longer delay
+// means that the process was paused.
 constexpr model::milliseconds relay_start_timeout{2'000};
 
-bool names(model::host_list const& hosts, std::string const& name)
+bool contains_host(model::host_list const& hosts, std::string const& name)
 {
     return std::any_of(hosts.members.begin(),
                        hosts.members.end(),
@@ -23,12 +24,12 @@
 
 fleet::witness_settings witness_settings_of(booking_settings const& settings)
 {
-    fleet::witness_settings made;
-    made.host = settings.host;
-    made.generation = settings.generation;
-    made.claims = settings.claims;
-    made.first_fleet = settings.first_fleet;
-    return made;
+    fleet::witness_settings result;
+    result.host = settings.host;
+    result.generation = settings.generation;
+    result.claims = settings.claims;
+    result.first_fleet = settings.first_fleet;
+    return result;
 }
 
 } // namespace
@@ -47,8 +48,8 @@
 {
     std::vector<fleet::claim_decision> decisions;
     m_claimant.handle(event, now, decisions);
-    for (fleet::claim_decision const& made : decisions) {
-        execute(made, now);
+    for (fleet::claim_decision const& decision : decisions) {
+        execute(decision, now);
     }
 }
 
@@ -76,10 +77,11 @@
 
 void bookings::set_hosts(model::host_list const& hosts, model::time_point now)
 {
-    // A host may start before the platform lists it. By a list without
-    // itself it would take the votes of the first fleet for given out, and
-    // no booking would find a quorum until its memory has matured.
-    m_listed = m_listed || names(hosts, m_settings.host);
+    // A host may start before the platform lists it. With a list that lacks
+    // this host, the witness treats the votes of the first fleet as already
+    // granted, and no booking reaches a quorum until its claim table has
+    // matured.
+    m_listed = m_listed || contains_host(hosts, m_settings.host);
     if (!m_listed) {
         return;
     }
@@ -133,7 +135,7 @@
         if (call.fetch_until != model::time_point{} && call.fetch_until < now) {
             refuse_unknown(id.value,
                            fetch_retry_after,
-                           "the first run's host doesn't answer");
+                           "the host of the first run does not respond");
         }
     }
 }
@@ -176,7 +178,7 @@
     }
     pending_call const call = found->second;
     m_pending.erase(found);
-    // A resend that was answered from an earlier run is no end of that run.
+    // A resend that was answered from an earlier run does not end that run.
     if (call.admitted) {
         handle_claimant_event(fleet::claim_ended{call.key, outcome}, now);
     }
@@ -187,33 +189,38 @@
     handle_witness_event(fleet::claim_stop_planned{}, now);
 }
 
-void bookings::execute(fleet::claim_decision const& made, model::time_point now)
+void bookings::execute(fleet::claim_decision const& decision,
+                       model::time_point now)
 {
-    if (auto const* message = std::get_if<fleet::claim_send>(&made)) {
+    if (auto const* message = std::get_if<fleet::claim_send>(&decision)) {
         deliver(message->to, message->message, now);
-    } else if (auto const* go = std::get_if<fleet::claim_proceed>(&made)) {
-        auto const found = m_pending.find({go->ticket});
+    } else if (auto const* proceed =
+                   std::get_if<fleet::claim_proceed>(&decision)) {
+        auto const found = m_pending.find({proceed->ticket});
         if (found != m_pending.end()) {
             found->second.admitted = true;
             m_hooks.admit(found->second.request);
         }
-    } else if (auto const* no = std::get_if<fleet::claim_not_run>(&made)) {
-        refuse(no->ticket,
+    } else if (auto const* not_run =
+                   std::get_if<fleet::claim_not_run>(&decision)) {
+        refuse(not_run->ticket,
                {model::error_kind::unavailable,
-                no->reason,
-                "send it again with the same Idempotency-Key",
-                no->retry_after},
+                not_run->reason,
+                "resend it with the same Idempotency-Key",
+                not_run->retry_after},
                model::outcome::not_run);
-    } else if (auto const* open = std::get_if<fleet::claim_unknown>(&made)) {
-        refuse_unknown(open->ticket, open->retry_after, open->reason);
+    } else if (auto const* unknown =
+                   std::get_if<fleet::claim_unknown>(&decision)) {
+        refuse_unknown(unknown->ticket, unknown->retry_after, unknown->reason);
     } else if (auto const* wanted =
-                   std::get_if<fleet::claim_fetch_answer>(&made)) {
+                   std::get_if<fleet::claim_fetch_answer>(&decision)) {
         fetch(*wanted, now);
-    } else if (auto const* other = std::get_if<fleet::claim_mismatch>(&made)) {
-        refuse(other->ticket,
+    } else if (auto const* mismatch =
+                   std::get_if<fleet::claim_mismatch>(&decision)) {
+        refuse(mismatch->ticket,
                {model::error_kind::bad_request,
                 "this Idempotency-Key was used for another request",
-                "choose a new key for a new request",
+                "use a new key for each new request",
                 model::milliseconds{0}},
                model::outcome::not_run);
     }
--- a/src/program/bookings.hpp
+++ b/src/program/bookings.hpp
@@ -21,14 +21,14 @@
 
 namespace caperjunction::program {
 
-/// What the keeper of bookings asks its owner to do.
+/// Callbacks by which `bookings` acts on the host.
 struct booking_hooks
 {
     std::function<void(std::string const& to, fleet::claim_message const&)>
         send;
-    /// The claim stands: let the decision logic place the call.
+    /// Passes a call whose claim is granted to the decision logic.
     std::function<void(decide::request const&)> admit;
-    /// Answer the caller now; the call won't be placed.
+    /// Answers the caller immediately; the call is not placed.
     std::function<void(net::relay_message)> answer;
 };
 
@@ -38,12 +38,12 @@
     std::uint64_t generation = 0;
     bool first_fleet = false;
     fleet::claim_settings claims;
-    /// Memory for the answers that resends may ask for.
+    /// Memory limit for answers that are stored for resends, in bytes.
     std::size_t answer_bytes = std::size_t{32} * 1024 * 1024;
 };
 
-/// Sees to it that a call which may not be repeated runs at most once: this
-/// host's claims, its votes as a witness, and the answers it keeps.
+/// Ensures that a non-repeatable call runs at most once. Owns this host's
+/// claims, its votes as a witness, and the answers stored for resends.
 ///
 /// Thread safety: none; owned by one task.
 class bookings
@@ -57,17 +57,17 @@
     void receive(std::string const& from,
                  fleet::claim_message const& message,
                  model::time_point now);
-    /// A new process runs under the name of another host.
+    /// Records that another host was restarted as a new process.
     void record_restart(std::string const& host, model::time_point now);
     void tick(model::time_point now);
 
-    /// To be asked right before a call is passed to the relay; empty if the
-    /// call is not to be dispatched (any more), else the time after which
-    /// the relay may not begin with it.
+    /// Has to be called immediately before a call is passed to the relay.
+    /// Returns the time after which the relay must not start the call, or
+    /// nothing if the call must not be dispatched (any more).
     std::optional<model::time_point> begin_dispatch(model::request_id id,
                                                     model::time_point now);
 
-    /// Whether this request is a call that may run only once.
+    /// Returns whether this request is a non-repeatable call.
     bool contains(model::request_id id) const
     {
         return m_pending.count(id) > 0;
@@ -80,7 +80,7 @@
 
     void plan_stop(model::time_point now);
 
-    /// At a planned stop: whether all votes have found a new host.
+    /// Returns whether all votes are handed over, during a planned stop.
     bool hand_over_complete() const
     {
         return m_witness.hand_over_complete();
@@ -96,15 +96,16 @@
     {
         decide::request request;
         fleet::claim_key key;
-        /// The claim stands, and the decision logic has the request.
+        /// The claim is granted, and the decision logic has the request.
         bool admitted = false;
-        /// A refusal has been sent; the exchange's end follows.
+        /// A refusal has been sent; the end of the exchange follows.
         bool answered = false;
-        /// Zero unless the first run's answer has been asked for.
+        /// Deadline for the requested answer of the first run; zero if none
+        /// was requested.
         model::time_point fetch_until{};
     };
 
-    /// How long the host of the first run has to answer.
+    /// Time within which the host of the first run has to send its answer.
     static constexpr model::milliseconds fetch_timeout{2'000};
     static constexpr model::milliseconds fetch_retry_after{5'000};
 
@@ -112,7 +113,7 @@
                                model::time_point now);
     void handle_witness_event(fleet::witness_event const& event,
                               model::time_point now);
-    void execute(fleet::claim_decision const& made, model::time_point now);
+    void execute(fleet::claim_decision const& decision, model::time_point now);
     void fetch(fleet::claim_fetch_answer const& wanted, model::time_point now);
     void send_answer(std::string const& to,
                      fleet::answer_query const& query,
@@ -134,7 +135,7 @@
     fleet::witness m_witness;
     fleet::claim_answers m_answers;
     std::unordered_map<model::request_id, pending_call> m_pending;
-    // A list with this host on it has come.
+    // A host list that contains this host has been received.
     bool m_listed = false;
 };
 
--- a/src/program/bookings_answer.cpp
+++ b/src/program/bookings_answer.cpp
@@ -24,12 +24,12 @@
     fleet::answer_reply reply;
     reply.key = query.key;
     reply.ticket = query.ticket;
-    auto const* const kept = m_answers.find(query.key, query.attempt);
-    if (kept != nullptr) {
+    auto const* const stored = m_answers.find(query.key, query.attempt);
+    if (stored != nullptr) {
         reply.found = true;
-        reply.status = kept->status;
-        reply.content_type = kept->content_type;
-        reply.body = kept->body;
+        reply.status = stored->status;
+        reply.content_type = stored->content_type;
+        reply.body = stored->body;
     }
     deliver(to, reply, now);
 }
@@ -39,7 +39,7 @@
     if (!reply.found) {
         refuse_unknown(reply.ticket,
                        fetch_retry_after,
-                       "the first run's answer is not kept");
+                       "the answer of the first run is not stored");
         return;
     }
     auto const found = m_pending.find({reply.ticket});
@@ -64,18 +64,18 @@
         return;
     }
     found->second.answered = true;
-    decide::refuse no;
-    no.id = {ticket};
-    no.kind = error.kind;
-    no.outcome = outcome;
-    no.retry_after = error.retry_after;
-    no.reason = error.message;
-    no.remedy = error.remedy;
+    decide::refuse refusal;
+    refusal.id = {ticket};
+    refusal.kind = error.kind;
+    refusal.outcome = outcome;
+    refusal.retry_after = error.retry_after;
+    refusal.reason = error.message;
+    refusal.remedy = error.remedy;
     runtime::log_line("booking_refused")
-        .field("request", net::to_string(no.id))
+        .field("request", net::to_string(refusal.id))
         .field("outcome", model::to_string(outcome))
-        .field("reason", no.reason);
-    m_hooks.answer(decide::decision(no));
+        .field("reason", refusal.reason);
+    m_hooks.answer(decide::decision(refusal));
 }
 
 void bookings::refuse_unknown(std::uint64_t ticket,
@@ -85,8 +85,8 @@
     refuse(ticket,
            {model::error_kind::unavailable,
             reason,
-            "send it again with the same Idempotency-Key, which is safe, or "
-            "ask the service whether it was booked",
+            "resend it with the same Idempotency-Key, which is safe, or ask "
+            "the service whether it was booked",
             retry_after},
            model::outcome::unknown);
 }
--- a/src/program/check_command.cpp
+++ b/src/program/check_command.cpp
@@ -27,18 +27,19 @@
 {
     std::ifstream file(name, std::ios::binary);
     std::ostringstream text;
-    // A folder opens like a file and fails only when it is read.
+    // A directory opens like a file and fails only when it is read.
     if (file) {
         text << file.rdbuf();
     }
     if (!file || text.str().empty()) {
         refuse("cannot read " + name + ", or it is empty",
-               "check the name and its permissions");
+               "check the file name and its permissions");
     }
     return text.str();
 }
 
-/// Faults found across the lists name a list; the user knows its file.
+/// Appends faults of checks across lists, with the list's name replaced by its
+/// file name.
 void append(std::vector<lists::fault>& faults,
             std::vector<lists::fault> const& found,
             std::vector<std::string> const& files)
@@ -56,7 +57,7 @@
         lists::parse_plans(read_file(files[0]), files[0], faults);
     auto const entitlements =
         lists::parse_entitlements(read_file(files[1]), files[1], faults);
-    // Over a list that could not be read, every name would be undefined.
+    // Without a readable plan list, every name would be reported as undefined.
     bool const is_empty = plans.tiers.empty() && plans.plans.empty();
     if (faults.empty() || !is_empty) {
         append(faults, lists::check(plans, entitlements), files);
@@ -78,7 +79,7 @@
 int check_files(std::vector<std::string> const& files)
 {
     if (files.size() != lists_only && files.size() != with_deployment) {
-        refuse("check takes two files or four",
+        refuse("check requires two or four files",
                "run caperjunction check PLANS ENTITLEMENTS [HOSTS UPSTREAMS]");
     }
     auto const faults = find_faults(files);
--- a/src/program/check_command.hpp
+++ b/src/program/check_command.hpp
@@ -6,11 +6,11 @@
 
 namespace caperjunction::program {
 
-/// Checks the lists in these files and prints each fault with its remedy:
-/// PLANS ENTITLEMENTS, or these and HOSTS UPSTREAMS to see as well whether
-/// the platform lists what the entitlements name.
+/// Checks the lists in `files` and prints each fault with its remedy. The files
+/// are PLANS ENTITLEMENTS, optionally followed by HOSTS UPSTREAMS to check
+/// that the platform lists everything that the entitlements name.
 ///
-/// Returns the exit code: 0 if there is no fault, 1 otherwise.
+/// Returns the exit status: 0 if there are no faults, 1 otherwise.
 /// Thread safety: no shared state.
 /// \throws model::error (bad_settings) if a file cannot be read or the number
 /// of files is neither two nor four.
--- a/src/program/command_line.cpp
+++ b/src/program/command_line.cpp
@@ -38,54 +38,55 @@
            || absl::StrContains(flag.Filename(), "program/routed_flags.cpp");
 }
 
-/// The name in `--name`, `--name=value` or `--noname`; empty for a word that
-/// is no flag.
-std::string flag_name(std::string const& word)
+/// Returns the name in `--name`, `--name=value` or `--noname`; empty if `word`
+/// is not a flag.
+std::string flag_name(std::string const& argument)
 {
-    std::size_t const start = word.find_first_not_of('-');
-    if (word.empty() || word[0] != '-' || start == std::string::npos) {
+    std::size_t const start = argument.find_first_not_of('-');
+    if (argument.empty() || argument[0] != '-' || start == std::string::npos) {
         return "";
     }
-    return word.substr(start, word.find('=') - start);
+    return argument.substr(start, argument.find('=') - start);
 }
 
-/// The flags library's own words; it knows them but has no flags for them.
+/// Returns whether `name` is a help option of the flags library. The library
+/// handles these options but defines no flags for them.
 bool is_help(std::string const& name)
 {
     return name == "help" || name == "helpshort" || name == "helpfull"
            || name == "helppackage" || name == "helpon" || name == "helpmatch";
 }
 
-// The flags library would end the process with a line of its own; here the
-// error says what to do.
-void check_names(int count, char** words)
+// Checks the flags before absl parses them. absl exits the process with its own
+// message, which has no remedy.
+void check_names(int argc, char** argv)
 {
-    for (int index = 1; index < count; ++index) {
-        std::string const word = words[index];
-        if (word == "--") {
+    for (int index = 1; index < argc; ++index) {
+        std::string const argument = argv[index];
+        if (argument == "--") {
             return;
         }
-        std::string const name = flag_name(word);
+        std::string const name = flag_name(argument);
         if (is_help(name)) {
             continue;
         }
         if (!name.empty() && absl::FindCommandLineFlag(name) == nullptr) {
             throw model::error(model::error_kind::bad_settings,
-                               absl::StrCat("there is no flag --", name),
+                               absl::StrCat("unknown flag --", name),
                                "see caperjunction --help for the flags");
         }
-        std::size_t const equals = word.find('=');
+        std::size_t const equals = argument.find('=');
         if (name.empty() || equals == std::string::npos) {
             continue;
         }
         std::string reason;
-        if (!absl::FindCommandLineFlag(name)->ParseFrom(word.substr(equals + 1),
-                                                        &reason)) {
-            throw model::error(model::error_kind::bad_settings,
-                               absl::StrCat("--", name, " has a bad value"),
-                               reason.empty()
-                                   ? "see caperjunction --help for its form"
-                                   : reason);
+        if (!absl::FindCommandLineFlag(name)->ParseFrom(
+                argument.substr(equals + 1), &reason)) {
+            throw model::error(
+                model::error_kind::bad_settings,
+                absl::StrCat("--", name, " has an invalid value"),
+                reason.empty() ? "see caperjunction --help for its format"
+                               : reason);
         }
     }
 }
@@ -102,29 +103,29 @@
         std::string reason;
         if (value != nullptr && !flag->ParseFrom(value, &reason)) {
             throw model::error(model::error_kind::bad_settings,
-                               absl::StrCat(variable, " has a bad value"),
+                               absl::StrCat(variable, " has an invalid value"),
                                reason.empty()
-                                   ? "see caperjunction --help for its form"
+                                   ? "see caperjunction --help for its format"
                                    : reason);
         }
     }
 }
 
-// The file is named by the command line or the environment, and both go
-// before what it says.
-void read_settings_file(int count, char** words)
+// The command line or the environment names the file, and both take precedence
+// over its content.
+void read_settings_file(int argc, char** argv)
 {
     constexpr std::string_view option = "--config=";
     std::string path = absl::GetFlag(FLAGS_config);
-    for (int index = 1; index < count; ++index) {
-        std::string_view const word = words[index];
-        if (word.substr(0, option.size()) == option) {
-            path = word.substr(option.size());
+    for (int index = 1; index < argc; ++index) {
+        std::string_view const argument = argv[index];
+        if (argument.substr(0, option.size()) == option) {
+            path = argument.substr(option.size());
         }
     }
     if (!path.empty()) {
-        // The signal to read the file anew may come before its handler is
-        // set up, and would end the process.
+        // SIGHUP requests a reload of the file. If it arrives before its
+        // handler is installed, the default action ends the process.
         std::signal(SIGHUP, SIG_IGN);
         apply_settings_file(path);
         read_environment();
@@ -147,19 +148,19 @@
 
 } // namespace
 
-command_line read_command_line(int count, char** words)
+command_line read_command_line(int argc, char** argv)
 {
     set_up_help();
     read_environment();
-    read_settings_file(count, words);
-    check_names(count, words);
-    std::vector<char*> const rest = absl::ParseCommandLine(count, words);
+    read_settings_file(argc, argv);
+    check_names(argc, argv);
+    std::vector<char*> const positional = absl::ParseCommandLine(argc, argv);
     command_line read;
-    for (std::size_t index = 1; index < rest.size(); ++index) {
+    for (std::size_t index = 1; index < positional.size(); ++index) {
         if (index == 1) {
-            read.command = rest[index];
+            read.command = positional[index];
         } else {
-            read.arguments.emplace_back(rest[index]);
+            read.arguments.emplace_back(positional[index]);
         }
     }
     return read;
--- a/src/program/command_line.hpp
+++ b/src/program/command_line.hpp
@@ -6,7 +6,7 @@
 
 namespace caperjunction::program {
 
-/// What is left of the command line once the flags are read.
+/// Command line without the flags.
 struct command_line
 {
     /// Empty if none was given.
@@ -14,11 +14,11 @@
     std::vector<std::string> arguments;
 };
 
-/// Fills the flags from the environment (CAPERJUNCTION_<FLAG>) and then from
-/// the command line, which wins. Ends the process for --help.
+/// Sets the flags from the environment (CAPERJUNCTION_<FLAG>) and then from the
+/// command line, which takes precedence. Exits the process for --help.
 ///
-/// \throws model::error (bad_settings) that names the flag and the remedy.
-command_line read_command_line(int count, char** words);
+/// \throws model::error (bad_settings) with the flag's name and the remedy.
+command_line read_command_line(int argc, char** argv);
 
 } // namespace caperjunction::program
 
--- a/src/program/commands.cpp
+++ b/src/program/commands.cpp
@@ -31,7 +31,7 @@
     return check_files(line.arguments);
 }
 
-/// One answer of a host's admin address.
+/// Answer of a host's admin address.
 struct admin_reply
 {
     int status = 0;
@@ -69,14 +69,14 @@
     model::endpoint const from = absl::GetFlag(FLAGS_admin).value;
     std::string const format = absl::GetFlag(FLAGS_format);
     if (format != "table" && format != "json") {
-        refuse("--format is neither table nor json", "choose one of the two");
+        refuse("--format is neither table nor json", "set it to table or json");
     }
     admin_reply const answer = fetch(from, path);
     if (!answer.reached) {
         throw model::error(
             model::error_kind::unavailable,
-            fmt::format("no host answers at {}:{}", from.address, from.port),
-            "give the host's admin address with --admin");
+            fmt::format("no host responds at {}:{}", from.address, from.port),
+            "set --admin to the host's admin address");
     }
     fmt::print("{}", format == "json" ? answer.body : to_table(answer.body));
     return answer.status == 200 ? 0 : 1;
@@ -85,7 +85,8 @@
 int run_explain(command_line const& line)
 {
     if (line.arguments.size() != 1) {
-        refuse("explain takes one id", "run caperjunction explain ID");
+        refuse("explain requires one request id",
+               "run caperjunction explain ID");
     }
     return print_answer("/explain?id=" + line.arguments[0], explain_table);
 }
@@ -136,7 +137,7 @@
         }
     }
     refuse(line.command.empty() ? "no command was given"
-                                : "there is no command " + line.command,
+                                : "unknown command " + line.command,
            "use serve, route, check, explain, status or version; see --help");
 }
 
--- a/src/program/commands.hpp
+++ b/src/program/commands.hpp
@@ -5,7 +5,7 @@
 
 namespace caperjunction::program {
 
-/// Runs the command that was named and returns the exit status.
+/// Runs the given command and returns the exit status.
 ///
 /// \throws model::error with the remedy.
 int run_command(command_line const& line);
--- a/src/program/configuration_history.cpp
+++ b/src/program/configuration_history.cpp
@@ -7,9 +7,9 @@
 namespace caperjunction::program {
 namespace {
 
-/// Hosts lag behind by one change or two.
+/// Hosts usually lag behind by one or two changes.
 constexpr std::size_t max_older = 3;
-/// Far beyond what the store takes as one value.
+/// Far above the store's limit for one value.
 constexpr std::size_t max_text_bytes = 16'000'000;
 
 } // namespace
--- a/src/program/configuration_history.hpp
+++ b/src/program/configuration_history.hpp
@@ -11,8 +11,8 @@
 
 namespace caperjunction::program {
 
-/// The newest configuration as text, and a few before it: another host that
-/// has one of these gets the difference alone.
+/// The newest configuration text and a few earlier ones. Another host that has
+/// one of them gets only the delta.
 ///
 /// Thread safety: none; owned by one task.
 class configuration_history
@@ -21,7 +21,7 @@
     /// \pre item.revision is above revision().
     void add(proxy::store_item const& item);
 
-    /// Of the newest; 0 if there is none.
+    /// Returns the revision of the newest configuration; 0 if there is none.
     std::uint64_t revision() const
     {
         return m_newest.revision;
@@ -32,22 +32,22 @@
         return m_newest;
     }
 
-    /// The newest against that of revision `base`, or whole if that isn't
-    /// known here. `checked` is left to the caller.
+    /// Returns the newest configuration as a delta against revision `base`, or
+    /// as full text if `base` is not stored. The caller sets `checked`.
     proxy::packed_configuration pack(std::uint64_t base);
 
-    /// Nothing if it can't be read, or its base isn't known here.
+    /// Returns nothing if the text cannot be decoded or its base is not stored.
     std::optional<proxy::store_item>
     unpack(proxy::packed_configuration const& packed_item) const;
 
 private:
-    /// Empty if it isn't known.
+    /// Returns an empty text if the revision is not stored.
     std::string const& text_of(std::uint64_t revision) const;
 
     proxy::store_item m_newest;
-    /// By revision, without the newest.
+    /// Earlier texts, by revision.
     std::map<std::uint64_t, std::string> m_older;
-    /// The newest as it was packed for others, by the base.
+    /// Packed forms of the newest text, by base revision.
     std::map<std::uint64_t, std::string> m_packed;
 };
 
--- a/src/program/control.cpp
+++ b/src/program/control.cpp
@@ -19,11 +19,11 @@
 booking_settings booking_settings_of(settings const& settings,
                                      std::uint64_t generation)
 {
-    booking_settings made;
-    made.host = settings.host_name;
-    made.generation = generation;
-    made.first_fleet = settings.first_fleet;
-    return made;
+    booking_settings result;
+    result.host = settings.host_name;
+    result.generation = generation;
+    result.first_fleet = settings.first_fleet;
+    return result;
 }
 
 } // namespace
@@ -42,8 +42,8 @@
                 settings.data_centre,
                 m_generation},
                loop.clock(),
-               [this](decide::decision const& made) {
-                   execute(made);
+               [this](decide::decision const& decision) {
+                   execute(decision);
                })
     , m_bookings(booking_settings_of(settings, m_generation),
                  make_booking_hooks())
@@ -93,8 +93,8 @@
     m_node.hosts_changed.connect([this](model::host_list const& hosts) {
         m_bookings.set_hosts(hosts, m_loop.now());
         m_orders.set_hosts(hosts);
-        // A host that hears the list from peers has never read it itself;
-        // until it has, it gives no vote.
+        // A host that received the list only from peers has not confirmed
+        // it. Until it has read the list itself, it grants no votes.
         if (!m_confirmed) {
             m_node.confirm_hosts();
         }
@@ -154,9 +154,9 @@
     });
 }
 
-// After a pause this host still believes what it knew before. Decisions wait
-// until its view has been refreshed; but not for ever, since with the service
-// down and all peers cut off it has to go on by what it knows.
+// After a pause, this host's view is outdated. Decisions wait until the view
+// has been refreshed, but only for `max_refresh_wait`: with the service down
+// and all peers unreachable, the host has to continue with its outdated view.
 void control::handle_event(decide::event const& event)
 {
     if (!m_is_deferring) {
@@ -183,24 +183,26 @@
                    std::get_if<net::booking_arrived>(&report)) {
         m_policy.record_arrival(booking->request);
         m_bookings.start(*booking, now);
-    } else if (auto const* kept = std::get_if<net::booking_answered>(&report)) {
-        m_bookings.keep_answer(*kept, now);
+    } else if (auto const* answered =
+                   std::get_if<net::booking_answered>(&report)) {
+        m_bookings.keep_answer(*answered, now);
     } else if (auto const* ended = std::get_if<net::exchange_ended>(&report)) {
         end_exchange(*ended);
-    } else if (auto const* give =
+    } else if (auto const* requested =
                    std::get_if<net::hand_over_requested>(&report)) {
-        if (!m_node.send(give->host, give->request)) {
-            handle_event(
-                decide::hand_over_refused{give->request.id, give->host});
+        if (!m_node.send(requested->host, requested->request)) {
+            handle_event(decide::hand_over_refused{requested->request.id,
+                                                   requested->host});
         }
-    } else if (auto const* part =
+    } else if (auto const* chunk =
                    std::get_if<net::hand_over_chunk_ready>(&report)) {
-        m_node.send(part->host, part->chunk);
-    } else if (auto const* over = std::get_if<net::hand_over_ended>(&report)) {
-        m_node.send(over->host, over->end);
-    } else if (auto const* no =
+        m_node.send(chunk->host, chunk->chunk);
+    } else if (auto const* hand_over =
+                   std::get_if<net::hand_over_ended>(&report)) {
+        m_node.send(hand_over->host, hand_over->end);
+    } else if (auto const* cancelled =
                    std::get_if<net::hand_over_cancelled>(&report)) {
-        m_node.send(no->host, fleet::hand_over_cancel{no->id});
+        m_node.send(cancelled->host, fleet::hand_over_cancel{cancelled->id});
     } else {
         m_relay_idle = true;
     }
@@ -216,18 +218,18 @@
     }
 }
 
-void control::execute(decide::decision const& made)
+void control::execute(decide::decision const& decision)
 {
-    m_metrics.count_decision(made);
-    if (auto const* shift = std::get_if<decide::shift_model>(&made)) {
+    m_metrics.count_decision(decision);
+    if (auto const* shift = std::get_if<decide::shift_model>(&decision)) {
         m_orders.request({shift->engine, shift->model}, false);
         return;
     }
-    auto const* to = std::get_if<decide::dispatch>(&made);
+    auto const* to = std::get_if<decide::dispatch>(&decision);
     if (to != nullptr && m_bookings.contains(to->id)) {
         start_booking(*to);
     } else {
-        m_to_relay(made);
+        m_to_relay(decision);
     }
 }
 
@@ -239,7 +241,7 @@
         m_to_relay(net::dispatch_booking{to, *until});
         return;
     }
-    // Not inside the decision logic's own call, which led here.
+    // Deferred, because the decision logic's `handle` is on the call stack.
     m_loop.defer([this, to] {
         handle_event(decide::request_cancelled{to.id});
         m_bookings.end(to.id, model::outcome::not_run, m_loop.now());
--- a/src/program/control.hpp
+++ b/src/program/control.hpp
@@ -21,22 +21,21 @@
 
 namespace caperjunction::program {
 
-/// The task that decides: it owns the decision logic, the claims, this
-/// host's place in the fleet and the admin address, and tells the relay what
-/// to do.
+/// Control task. Owns the decision logic, the claims, this host's fleet
+/// membership and the admin server, and sends decisions to the relay.
 ///
 /// Thread safety: none; owned by one task.
 class control
 {
 public:
-    /// Between two load digests to the peers.
+    /// Interval between two load digests to peers.
     static constexpr model::milliseconds digest_period{250};
-    /// Between two reads that confirm the list of hosts. Orders to engines
-    /// that ignore fencing numbers need one within 10 s; an answer without a
-    /// body costs some 200 bytes.
+    /// Interval between two reads that confirm the host list. Orders to engines
+    /// that ignore fencing numbers require a confirmation within 10 s. An
+    /// answer without a body costs about 200 bytes.
     static constexpr model::milliseconds confirm_period{5'000};
-    /// Longest time that decisions wait for a view after a pause. Claims
-    /// wait by rules of their own, for as long as it takes.
+    /// Maximum time for which decisions wait for a refreshed view after a
+    /// pause. Claims follow their own rules and wait without a limit.
     static constexpr model::milliseconds max_refresh_wait{3'000};
 
     using relay_hook = std::function<void(net::relay_message)>;
@@ -48,16 +47,17 @@
 
     void handle(net::relay_report& report);
 
-    /// Begins a planned stop: readiness goes first, work goes on.
+    /// Starts a planned stop: the host reports not ready and keeps working.
     void plan_stop();
 
-    /// Called when the relay is idle and all votes have a new host.
+    /// Sets the callback for a completed stop: the relay is idle and all votes
+    /// are handed over.
     void on_stopped(std::function<void()> stopped)
     {
         m_stopped = std::move(stopped);
     }
 
-    /// The configuration is in force and no stop is planned.
+    /// Returns whether the configuration is in force and no stop is planned.
     bool ready() const
     {
         return m_node.ready() && !m_stopping;
@@ -83,7 +83,7 @@
     void start_timers();
     void handle_event(decide::event const& event);
     void flush_deferred();
-    void execute(decide::decision const& made);
+    void execute(decide::decision const& decision);
     void start_booking(decide::dispatch const& to);
     void apply_lists(std::shared_ptr<lists::catalogue const> const& catalogue);
     void apply_upstreams(model::upstream_list const& upstreams);
@@ -108,12 +108,12 @@
     engine_orders m_orders;
     net::engine_reader m_engines;
     net::admin_server m_admin;
-    // Events that came while the view was outdated.
+    // Events received while the view was outdated.
     std::vector<decide::event> m_deferred;
     std::shared_ptr<lists::catalogue const> m_catalogue;
     model::time_point m_defer_until{};
     bool m_is_deferring = false;
-    // The list of hosts has been read from the service at least once.
+    // The host list has been read from the service at least once.
     bool m_confirmed = false;
     bool m_stopping = false;
     bool m_relay_idle = false;
--- a/src/program/control_pages.cpp
+++ b/src/program/control_pages.cpp
@@ -8,23 +8,24 @@
 
 host_status control::status() const
 {
-    host_status made;
-    made.host = m_settings.host_name;
-    made.region = m_settings.region;
-    made.data_centre = m_settings.data_centre;
-    made.ready = m_node.ready();
-    made.stopping = m_stopping;
-    made.claims = m_bookings.claims();
+    host_status result;
+    result.host = m_settings.host_name;
+    result.region = m_settings.region;
+    result.data_centre = m_settings.data_centre;
+    result.ready = m_node.ready();
+    result.stopping = m_stopping;
+    result.claims = m_bookings.claims();
     auto const in_force = m_node.in_force();
     for (std::size_t index = 0; index < fleet::published_value_count; ++index) {
         auto const value = static_cast<fleet::published_value>(index);
-        made.revisions[std::string(fleet::to_string(value))] = in_force[value];
+        result.revisions[std::string(fleet::to_string(value))] =
+            in_force[value];
     }
     for (fleet::viewed_host const& other : m_node.view()->hosts) {
-        made.hosts[other.host.name] =
+        result.hosts[other.host.name] =
             std::string(fleet::to_string(other.state));
     }
-    return made;
+    return result;
 }
 
 void control::add_routes()
--- a/src/program/control_peers.cpp
+++ b/src/program/control_peers.cpp
@@ -11,7 +11,7 @@
     if (change.change == fleet::host_change::restarted) {
         m_bookings.record_restart(change.host, m_loop.now());
     }
-    // A host that leaves still finishes what it serves for this one.
+    // A leaving host still completes the requests it serves for this host.
     if (change.change != fleet::host_change::leaving) {
         m_to_relay(net::drop_host{change.host});
     }
@@ -22,20 +22,20 @@
 {
     if (auto const* claim = std::get_if<fleet::claim_message>(&message)) {
         m_bookings.receive(from, *claim, m_loop.now());
-    } else if (auto const* give =
+    } else if (auto const* hand_over =
                    std::get_if<fleet::hand_over_request>(&message)) {
-        m_to_relay(net::serve_handed_over{from, *give});
-    } else if (auto const* part =
+        m_to_relay(net::serve_handed_over{from, *hand_over});
+    } else if (auto const* chunk =
                    std::get_if<fleet::hand_over_chunk>(&message)) {
-        m_to_relay(net::receive_chunk{from, *part});
+        m_to_relay(net::receive_chunk{from, *chunk});
     } else if (auto const* end = std::get_if<fleet::hand_over_end>(&message)) {
         m_to_relay(net::receive_end{from, *end});
     } else if (auto const* request =
                    std::get_if<fleet::order_request>(&message)) {
         m_orders.request(*request, true);
-    } else if (auto const* no =
+    } else if (auto const* cancel =
                    std::get_if<fleet::hand_over_cancel>(&message)) {
-        m_to_relay(net::cancel_handed_over{from, no->id});
+        m_to_relay(net::cancel_handed_over{from, cancel->id});
     }
 }
 
--- a/src/program/described.cpp
+++ b/src/program/described.cpp
@@ -21,79 +21,79 @@
     return text;
 }
 
-decision_description describe_one(decide::dispatch const& made)
+decision_description describe_one(decide::dispatch const& decision)
 {
     return {"request_placed",
-            made.id,
-            {{"upstream", made.upstream},
-             {"attempt", std::to_string(made.attempt)},
-             {"priority", std::to_string(made.priority)},
-             {"resume_offset", std::to_string(made.resume_offset)},
-             {"candidates", list_candidates(made.candidates)},
-             {"reason", made.reason}}};
+            decision.id,
+            {{"upstream", decision.upstream},
+             {"attempt", std::to_string(decision.attempt)},
+             {"priority", std::to_string(decision.priority)},
+             {"resume_offset", std::to_string(decision.resume_offset)},
+             {"candidates", list_candidates(decision.candidates)},
+             {"reason", decision.reason}}};
 }
 
-decision_description describe_one(decide::queued const& made)
+decision_description describe_one(decide::queued const& decision)
 {
-    return {
-        "request_queued",
-        made.id,
-        {{"position", std::to_string(made.position)}, {"reason", made.reason}}};
+    return {"request_queued",
+            decision.id,
+            {{"position", std::to_string(decision.position)},
+             {"reason", decision.reason}}};
 }
 
-decision_description describe_one(decide::refuse const& made)
+decision_description describe_one(decide::refuse const& decision)
 {
     return {"request_refused",
-            made.id,
-            {{"kind", std::string(model::to_string(made.kind))},
-             {"outcome", std::string(model::to_string(made.outcome))},
-             {"retry_after_ms", std::to_string(made.retry_after.count())},
-             {"reason", made.reason}}};
+            decision.id,
+            {{"kind", std::string(model::to_string(decision.kind))},
+             {"outcome", std::string(model::to_string(decision.outcome))},
+             {"retry_after_ms", std::to_string(decision.retry_after.count())},
+             {"reason", decision.reason}}};
 }
 
-decision_description describe_one(decide::cancel_attempt const& made)
+decision_description describe_one(decide::cancel_attempt const& decision)
 {
     return {"attempt_cancelled",
-            made.id,
-            {{"upstream", made.upstream}, {"reason", made.reason}}};
+            decision.id,
+            {{"upstream", decision.upstream}, {"reason", decision.reason}}};
 }
 
-decision_description describe_one(decide::hand_over const& made)
+decision_description describe_one(decide::hand_over const& decision)
 {
     return {"request_handed_over",
-            made.id,
-            {{"to_host", made.host}, {"reason", made.reason}}};
+            decision.id,
+            {{"to_host", decision.host}, {"reason", decision.reason}}};
 }
 
-decision_description describe_one(decide::eject_engine const& made)
+decision_description describe_one(decide::eject_engine const& decision)
 {
     return {"engine_ejected",
             {},
-            {{"upstream", made.engine}, {"reason", made.reason}}};
+            {{"upstream", decision.engine}, {"reason", decision.reason}}};
 }
 
-decision_description describe_one(decide::readmit_engine const& made)
+decision_description describe_one(decide::readmit_engine const& decision)
 {
     return {"engine_readmitted",
             {},
-            {{"upstream", made.engine}, {"reason", made.reason}}};
+            {{"upstream", decision.engine}, {"reason", decision.reason}}};
 }
 
-decision_description describe_one(decide::quarantine_request const& made)
+decision_description describe_one(decide::quarantine_request const& decision)
 {
     return {"request_quarantined",
             {},
-            {{"fingerprint", fmt::format("{:016x}", made.fingerprint)},
-             {"reason", made.reason}}};
+            {{"fingerprint", fmt::format("{:016x}", decision.fingerprint)},
+             {"reason", decision.reason}}};
 }
 
-decision_description describe_one(decide::shift_model const& made)
+decision_description describe_one(decide::shift_model const& decision)
 {
     return {"model_shift_wished",
             {},
-            {{"upstream", made.engine},
-             {"model", made.model},
-             {"reason", made.reason}}};
+            {{"upstream", decision.engine},
+             {"model", decision.model},
+             {"reason", decision.reason}}};
 }
 
 } // namespace
@@ -101,8 +101,8 @@
 decision_description describe(decide::decision const& decision)
 {
     return std::visit(
-        [](auto const& made) {
-            return describe_one(made);
+        [](auto const& alternative) {
+            return describe_one(alternative);
         },
         decision);
 }
--- a/src/program/described.hpp
+++ b/src/program/described.hpp
@@ -9,19 +9,19 @@
 
 namespace caperjunction::program {
 
-/// One key=value pair of a log line or of a trail.
+/// Key and value of a log line or a trail step.
 struct key_value
 {
     std::string key;
     std::string value;
 };
 
-/// A decision in the words of the log and of `explain`.
+/// Text form of a decision, for the log and for `explain`.
 struct decision_description
 {
     /// Name of the log event.
     std::string event;
-    /// Zero if the decision is about no one request.
+    /// Zero if the decision does not concern a single request.
     model::request_id id;
     std::vector<key_value> pairs;
 };
--- a/src/program/endpoint_flag.cpp
+++ b/src/program/endpoint_flag.cpp
@@ -30,12 +30,12 @@
     std::size_t const colon = text.rfind(':');
     std::uint32_t port = 0;
     constexpr std::uint32_t last_port = 65'535;
-    bool const sound =
+    bool const is_valid =
         colon != absl::string_view::npos
         && absl::SimpleAtoi(text.substr(colon + 1), &port) && port <= last_port
         && is_numeric_address(std::string(text.substr(0, colon)));
-    if (!sound) {
-        *error = "write a numeric address and a port, as in 127.0.0.1:8080";
+    if (!is_valid) {
+        *error = "use a numeric address and a port, as in 127.0.0.1:8080";
         return false;
     }
     flag->value.address = std::string(text.substr(0, colon));
--- a/src/program/endpoint_flag.hpp
+++ b/src/program/endpoint_flag.hpp
@@ -9,13 +9,13 @@
 
 namespace caperjunction::program {
 
-/// An address and port as the command line gives them, e.g. 127.0.0.1:8080.
+/// Flag type for an address and port, e.g. 127.0.0.1:8080.
 struct endpoint_flag
 {
     model::endpoint value;
 };
 
-/// Found by the flags library through its own naming rule.
+/// absl finds this function by its name, through argument-dependent lookup.
 bool AbslParseFlag( // NOLINT(readability-identifier-naming)
     absl::string_view text,
     endpoint_flag* flag,
--- a/src/program/engine_orders.cpp
+++ b/src/program/engine_orders.cpp
@@ -16,10 +16,10 @@
 fleet::order_settings settings_of(std::string const& host,
                                   std::uint64_t generation)
 {
-    fleet::order_settings made;
-    made.host = host;
-    made.generation = generation;
-    return made;
+    fleet::order_settings result;
+    result.host = host;
+    result.generation = generation;
+    return result;
 }
 
 net::upstream_timeouts order_timeouts()
@@ -30,9 +30,10 @@
     return timeouts;
 }
 
-/// One number for an engine: the list's revision, then the second in which
-/// the ordering process started. A host that restarts within one second gives
-/// out an equal number, which is accepted; its former process is gone.
+/// Encodes a fencing number as one integer: the list's revision in the upper 32
+/// bits, then the second in which the ordering process started. A host that
+/// restarts within one second sends an equal number, which engines accept. This
+/// is safe, because its former process no longer runs.
 std::uint64_t encode_fencing_number(fleet::fencing_number const& number)
 {
     constexpr unsigned revision_shift = 32;
@@ -151,11 +152,13 @@
 {
     std::vector<fleet::order_decision> decisions;
     m_orderer.handle(event, m_loop.now(), decisions);
-    for (fleet::order_decision const& made : decisions) {
-        if (auto const* on = std::get_if<fleet::order_request_forward>(&made)) {
-            m_forward(on->to, on->request);
-        } else if (auto const* go = std::get_if<fleet::order_send>(&made)) {
-            send(go->order);
+    for (fleet::order_decision const& decision : decisions) {
+        if (auto const* forward =
+                std::get_if<fleet::order_request_forward>(&decision)) {
+            m_forward(forward->to, forward->request);
+        } else if (auto const* outgoing =
+                       std::get_if<fleet::order_send>(&decision)) {
+            send(outgoing->order);
         }
     }
 }
--- a/src/program/engine_orders.hpp
+++ b/src/program/engine_orders.hpp
@@ -16,14 +16,15 @@
 
 namespace caperjunction::program {
 
-/// Turns the decision logic's wishes into orders to engines: forwards each to
-/// the engine's one orderer, and hands over the orders that are this host's.
+/// Turns model load requests of the decision logic into orders to engines.
+/// Forwards each request to the host that owns the engine's orders, and sends
+/// the orders that this host owns.
 ///
 /// Thread safety: none; owned by one task.
 class engine_orders
 {
 public:
-    /// Passes a wish to the host that orders the engine.
+    /// Sends a request to the host that owns the engine's orders.
     using forward_hook =
         std::function<void(std::string const& to, fleet::order_request const&)>;
 
@@ -36,7 +37,7 @@
     void confirm_hosts(model::time_point as_of);
     void set_upstreams(model::upstream_list const& upstreams);
 
-    /// What an engine itself says of the models that it serves.
+    /// Records the models that an engine reports.
     void report(decide::engine_report const& report);
 
     void request(fleet::order_request const& request, bool forwarded);
--- a/src/program/file_watch.cpp
+++ b/src/program/file_watch.cpp
@@ -20,7 +20,7 @@
         now.size = std::filesystem::file_size(m_path, failure);
     }
     if (failure) {
-        // While it is being replaced there may be none for a moment.
+        // The file may be absent for a moment while it is being replaced.
         return false;
     }
     result = now;
--- a/src/program/file_watch.hpp
+++ b/src/program/file_watch.hpp
@@ -6,17 +6,18 @@
 
 namespace caperjunction::program {
 
-/// Tells when a file was written: settings may change without a signal.
+/// Detects changes of a file by polling. The settings file may change without a
+/// signal.
 ///
 /// Thread safety: none.
 class file_watch
 {
 public:
-    /// An empty path names no file, which never changes.
+    /// With an empty path, `has_changed` always returns false.
     explicit file_watch(std::string path);
 
-    /// Whether the file is another than at the last call, or when this was
-    /// made. A file that can't be read is as it was.
+    /// Returns whether the file has changed since the last call or, before the
+    /// first call, since construction. An unreadable file counts as unchanged.
     bool has_changed();
 
 private:
--- a/src/program/flag_checks.cpp
+++ b/src/program/flag_checks.cpp
@@ -12,7 +12,7 @@
 void require_text(std::string const& value, std::string const& flag)
 {
     if (value.empty()) {
-        refuse_setting("--" + flag + " is not set", "give it a value");
+        refuse_setting("--" + flag + " is not set", "set it to a value");
     }
 }
 
--- a/src/program/flag_checks.hpp
+++ b/src/program/flag_checks.hpp
@@ -16,8 +16,8 @@
 /// \throws model::error (bad_settings) if `value` is empty.
 void require_text(std::string const& value, std::string const& flag);
 
-/// `value`, if it is from `least` to `most`.
-/// \throws model::error (bad_settings) if it isn't.
+/// Returns `value`.
+/// \throws model::error (bad_settings) if it is not within `min`..`max`.
 model::milliseconds duration_in_range(absl::Duration value,
                                       absl::Duration min,
                                       absl::Duration max,
--- a/src/program/flags.cpp
+++ b/src/program/flags.cpp
@@ -12,84 +12,84 @@
 ABSL_FLAG(std::string,
           config,
           "",
-          "A file of flags, one --name=value a line; what the environment and "
-          "the command line say wins. Read anew on SIGHUP");
+          "File of flags, one --name=value per line; the environment and the "
+          "command line take precedence. Reloaded on SIGHUP");
 ABSL_FLAG(std::string,
           host_name,
           "",
-          "This host's name in the platform's list");
-ABSL_FLAG(std::string, region, "", "The region that this host stands in");
-ABSL_FLAG(std::string, data_centre, "", "The data centre it stands in");
-ABSL_FLAG(
-    endpoint_flag,
-    listen,
-    (endpoint_flag{{"127.0.0.1", 8080}}),
-    "Where callers are served, ADDRESS:PORT; port 0 lets the kernel choose");
+          "Name of this host in the platform's list");
+ABSL_FLAG(std::string, region, "", "Region of this host");
+ABSL_FLAG(std::string, data_centre, "", "Data centre of this host");
+ABSL_FLAG(endpoint_flag,
+          listen,
+          (endpoint_flag{{"127.0.0.1", 8080}}),
+          "Address for callers, ADDRESS:PORT; with port 0 the kernel chooses");
 ABSL_FLAG(endpoint_flag,
           admin_listen,
           (endpoint_flag{{"127.0.0.1", 8081}}),
-          "Where operators and metrics are served; never open it to callers");
+          "Address for operators and metrics; never expose it to callers");
 ABSL_FLAG(endpoint_flag,
           peer_listen,
           (endpoint_flag{{"127.0.0.1", 8082}}),
-          "Where the other hosts reach this one");
+          "Address at which other hosts reach this host");
 ABSL_FLAG(endpoint_flag,
           platform,
           endpoint_flag{},
-          "The platform's configuration service, ADDRESS:PORT; required");
+          "Address of the platform's configuration service, ADDRESS:PORT; "
+          "required");
 ABSL_FLAG(std::string,
           peer_secret,
           "",
-          "Secret shared by all hosts; better set in the environment, since a "
-          "command line can be read by other users of the machine");
+          "Secret shared by all hosts; set it in the environment, because "
+          "other users of the machine can read the command line");
 ABSL_FLAG(
     bool,
     first_fleet,
     false,
     "Set only at the first start of the whole fleet, when no booking of an "
-    "earlier one can be sent again; without it, bookings wait until the "
-    "hosts' memory is known to be complete");
+    "earlier fleet can be resent; without it, bookings wait until the claim "
+    "tables of the hosts are known to be complete");
 ABSL_FLAG(std::uint32_t,
           max_requests,
           20'000,
-          "Requests served side by side; one more is refused");
+          "Maximum number of concurrent requests; further ones are refused");
 ABSL_FLAG(std::uint32_t,
           max_body_bytes,
           8U * 1024U * 1024U,
-          "Longest body of a request, in bytes");
+          "Maximum request body size in bytes");
 ABSL_FLAG(absl::Duration,
           caller_timeout,
           absl::Seconds(30),
-          "Time within which a caller must send its whole request");
+          "Time within which a caller must send its complete request");
 ABSL_FLAG(absl::Duration,
           connect_timeout,
           absl::Seconds(1),
-          "Longest time until a connection to an upstream stands");
+          "Maximum time for connecting to an upstream");
 ABSL_FLAG(absl::Duration,
           first_byte_timeout,
           absl::Seconds(30),
-          "Longest time until an upstream begins its answer");
+          "Maximum time until an upstream starts its answer");
 ABSL_FLAG(absl::Duration,
           progress_timeout,
           absl::Seconds(10),
-          "Longest silence within an upstream's answer");
+          "Maximum time without progress in an upstream's answer");
 ABSL_FLAG(absl::Duration,
           drain_delay,
           absl::Seconds(5),
-          "At a planned stop: time for the balancer to notice, in which new "
-          "requests are still served");
+          "During a planned stop: time for the load balancer to notice, in "
+          "which new requests are still served");
 ABSL_FLAG(absl::Duration,
           drain_limit,
           absl::Minutes(10),
-          "At a planned stop: longest wait for running answers");
+          "During a planned stop: maximum wait for running answers");
 ABSL_FLAG(absl::Duration,
           watch_wait,
           absl::Seconds(10),
-          "Longest time that a watch waits at the platform's service");
+          "Maximum time for which a watch waits at the platform's service");
 ABSL_FLAG(endpoint_flag,
           admin,
           (endpoint_flag{{"127.0.0.1", 8081}}),
-          "explain, status: admin address of the host that is asked");
+          "explain, status: admin address of the queried host");
 ABSL_FLAG(std::string, format, "table", "explain, status: table or json");
 
 namespace caperjunction::program {
--- a/src/program/flags.hpp
+++ b/src/program/flags.hpp
@@ -21,7 +21,7 @@
 
 namespace caperjunction::program {
 
-/// The settings as flags and environment give them.
+/// Returns the settings from the flags and the environment.
 ///
 /// \pre The command line has been read.
 /// \throws model::error (bad_settings) with the remedy.
--- a/src/program/fleet_node.cpp
+++ b/src/program/fleet_node.cpp
@@ -13,16 +13,16 @@
                                         std::uint64_t generation,
                                         list_checker& checker)
 {
-    fleet::agent_settings made;
-    made.membership.self.name = own.host_name;
-    made.membership.self.region = own.region;
-    made.membership.self.data_centre = own.data_centre;
-    made.membership.generation = generation;
-    made.configuration.seed = generation;
-    made.configuration.check = [&checker](fleet::value_bodies const& bodies) {
+    fleet::agent_settings result;
+    result.membership.self.name = own.host_name;
+    result.membership.self.region = own.region;
+    result.membership.self.data_centre = own.data_centre;
+    result.membership.generation = generation;
+    result.configuration.seed = generation;
+    result.configuration.check = [&checker](fleet::value_bodies const& bodies) {
         return checker.check(bodies);
     };
-    return made;
+    return result;
 }
 
 char const* change_name(fleet::host_change change)
@@ -86,17 +86,17 @@
                 runtime::log_line("platform_unreachable")
                     .field("value", fleet::to_string(end.value))
                     .field("remedy",
-                           "check --platform and the service; what is in force "
-                           "stays in force");
+                           "check --platform and the service; the current "
+                           "values stay in force");
             }
             handle_event(end);
             if (!end.failed) {
-                auto const held = m_agent.in_force();
-                record_confirmation(end.value, held[end.value], started);
+                auto const in_force = m_agent.in_force();
+                record_confirmation(end.value, in_force[end.value], started);
             }
         });
-    // A newer list comes by the agent's own reads; the answer that there is
-    // none is what confirms.
+    // The agent's own reads fetch a newer list. Here, only the answer that
+    // there is no newer list counts as a confirmation.
     m_confirmer.ended.connect(
         [this](fleet::read_ended const& end, model::time_point started) {
             if (!end.failed) {
@@ -169,8 +169,8 @@
     return m_link == nullptr ? net::peer_link_counters{} : m_link->counters();
 }
 
-// A read that began before a pause may have been answered before it; so what
-// it confirms is the time at which it began.
+// A read that was started before a pause may have been answered before the
+// pause. Therefore it confirms the list as of the time at which it was started.
 void fleet_node::record_confirmation(fleet::published_value value,
                                      std::uint64_t revision,
                                      model::time_point started)
@@ -211,31 +211,34 @@
 {
     if (auto const* message = std::get_if<fleet::send_message>(&output)) {
         send(message->to, message->message);
-    } else if (auto const* keep = std::get_if<fleet::keep_links>(&output)) {
+    } else if (auto const* peers = std::get_if<fleet::keep_links>(&output)) {
         if (m_link != nullptr) {
-            m_link->set_persistent_peers(keep->hosts);
+            m_link->set_persistent_peers(peers->hosts);
         }
     } else if (auto const* wait = std::get_if<fleet::watch_value>(&output)) {
         m_reader.watch(wait->value, wait->after, wait->wait);
-    } else if (auto const* pair = std::get_if<fleet::lists_in_force>(&output)) {
-        apply_lists(*pair);
+    } else if (auto const* lists =
+                   std::get_if<fleet::lists_in_force>(&output)) {
+        apply_lists(*lists);
     } else if (auto const* value =
                    std::get_if<fleet::value_in_force>(&output)) {
         apply_value(*value);
-    } else if (auto const* no = std::get_if<fleet::value_refused>(&output)) {
+    } else if (auto const* refused =
+                   std::get_if<fleet::value_refused>(&output)) {
         value_checked.emit(false);
-        log_refused(*no);
-    } else if (auto const* other = std::get_if<fleet::host_changed>(&output)) {
-        runtime::log_line(change_name(other->change))
-            .field("peer", other->host)
-            .field("reason", other->reason);
-        host_changed.emit(*other);
-    } else if (auto const* load = std::get_if<fleet::digest_arrived>(&output)) {
-        digest_arrived.emit(*load);
+        log_refused(*refused);
+    } else if (auto const* change = std::get_if<fleet::host_changed>(&output)) {
+        runtime::log_line(change_name(change->change))
+            .field("peer", change->host)
+            .field("reason", change->reason);
+        host_changed.emit(*change);
+    } else if (auto const* digest =
+                   std::get_if<fleet::digest_arrived>(&output)) {
+        digest_arrived.emit(*digest);
     } else if (std::holds_alternative<fleet::view_outdated>(output)) {
         runtime::log_line("view_outdated")
             .field("remedy",
-                   "the process was paused; nothing is decided "
+                   "the process was paused; decisions wait "
                    "until the view is refreshed");
         outdated.emit();
     } else if (std::holds_alternative<fleet::view_refreshed>(output)) {
@@ -244,12 +247,12 @@
     }
 }
 
-void fleet_node::apply_lists(fleet::lists_in_force const& pair)
+void fleet_node::apply_lists(fleet::lists_in_force const& lists)
 {
     auto [plans, entitlements] =
-        m_checker.take_parsed(*pair.plans.body, *pair.entitlements.body);
-    plans.revision = pair.plans.revision;
-    entitlements.revision = pair.entitlements.revision;
+        m_checker.take_parsed(*lists.plans.body, *lists.entitlements.body);
+    plans.revision = lists.plans.revision;
+    entitlements.revision = lists.entitlements.revision;
     runtime::log_line("lists_in_force")
         .field("plans_revision", plans.revision)
         .field("entitlements_revision", entitlements.revision);
--- a/src/program/fleet_node.hpp
+++ b/src/program/fleet_node.hpp
@@ -20,9 +20,9 @@
 
 namespace caperjunction::program {
 
-/// This host's place in the fleet: feeds membership, configuration and
-/// digests with what the platform and the peers say, and carries out what
-/// they ask for.
+/// This host's node in the fleet. Passes input from the platform and the peers
+/// to the fleet agent (membership, configuration and digests), and executes the
+/// agent's outputs.
 ///
 /// Thread safety: none; owned by one task.
 class fleet_node
@@ -32,19 +32,19 @@
                settings const& settings,
                std::uint64_t generation);
 
-    /// Begins to read; connect the signals first.
+    /// Starts reading. \pre The signals are connected.
     void start();
 
-    /// False if the host isn't listed or its queue is full.
+    /// Returns false if the host is not listed or its queue is full.
     bool send(std::string const& host, fleet::peer_message const& message);
 
     void publish_digest(std::vector<std::uint8_t> bytes);
 
-    /// Tells everyone that this host leaves.
+    /// Announces to all hosts that this host is leaving.
     void plan_stop();
 
-    /// Asks the service itself whether the list in force is its newest;
-    /// `list_confirmed` follows if that works.
+    /// Requests the host list from the service. Emits `list_confirmed` if the
+    /// list in force is the service's newest.
     void confirm_hosts();
 
     bool ready() const
@@ -52,7 +52,7 @@
         return m_agent.ready();
     }
 
-    /// False after a pause, until the view has been refreshed.
+    /// Returns false after a pause, until the view has been refreshed.
     bool is_view_current() const
     {
         return m_agent.is_view_current();
@@ -68,23 +68,24 @@
         return m_agent.in_force();
     }
 
-    /// 0 if peers are not spoken to.
+    /// Returns 0 if the peer link is disabled.
     std::uint16_t peer_port() const;
 
-    /// Zeros if peers are not spoken to.
+    /// Returns zeros if the peer link is disabled.
     net::peer_link_counters link_counters() const;
 
     sigc::signal<void(std::shared_ptr<lists::catalogue const>)> lists_changed;
     sigc::signal<void(model::upstream_list const&)> upstreams_changed;
     sigc::signal<void(model::host_list const&)> hosts_changed;
-    /// A published value was checked, and is in force if `accepted`.
+    /// Emitted after a published value was checked. It is in force if
+    /// `accepted`.
     sigc::signal<void(bool accepted)> value_checked;
     sigc::signal<void(fleet::host_changed const&)> host_changed;
     sigc::signal<void(fleet::digest_arrived const&)> digest_arrived;
-    /// Messages that are not for membership, configuration or digests.
+    /// Messages of other kinds than membership, configuration and digests.
     sigc::signal<void(std::string const&, fleet::peer_message const&)>
         message_received;
-    /// The list of hosts in force was the service's newest at that time.
+    /// The host list in force was the service's newest at the given time.
     sigc::signal<void(model::time_point)> list_confirmed;
     sigc::signal<void()> outdated;
     sigc::signal<void()> refreshed;
@@ -105,7 +106,8 @@
     list_checker m_checker;
     fleet::agent m_agent;
     net::platform_reader m_reader;
-    // Reads that only confirm: the agent counts the ends of its own.
+    // Reader for confirmations only. The agent counts the ends of its own
+    // reads, so confirmations need a separate reader.
     net::platform_reader m_confirmer;
     std::unique_ptr<net::peer_link> m_link;
 };
--- a/src/program/list_checker.hpp
+++ b/src/program/list_checker.hpp
@@ -12,16 +12,16 @@
 
 namespace caperjunction::program {
 
-/// The operators' two lists, parsed.
+/// Parsed plans and entitlements.
 struct parsed_lists
 {
     lists::plan_list plans;
     lists::entitlement_list entitlements;
 };
 
-/// Checks published bodies as the process will read them, and keeps what it
-/// parsed last: a pair that passes is put in force right after, and parsing a
-/// list of 530 teams twice would double the cost of each change.
+/// Checks published bodies with the parsers that also load them, and caches the
+/// last parsed pair. A valid pair is put in force right after its check, and
+/// parsing a list of 530 teams twice doubles the cost of each change.
 ///
 /// Thread safety: none; owned by one task.
 class list_checker
@@ -29,7 +29,8 @@
 public:
     std::vector<lists::fault> check(fleet::value_bodies const& bodies);
 
-    /// The lists of these two bodies. \pre The pair has passed `check`.
+    /// Returns the parsed lists of two bodies and clears the cache.
+    /// \pre The pair has passed `check`.
     parsed_lists take_parsed(std::string const& plans,
                              std::string const& entitlements);
 
--- a/src/program/metrics.cpp
+++ b/src/program/metrics.cpp
@@ -7,7 +7,7 @@
 namespace caperjunction::program {
 namespace {
 
-// Around the targets for the first token that plans give, in seconds.
+// Bucket bounds in seconds, around the first token targets of the plans.
 prometheus::Histogram::BucketBoundaries const& first_byte_buckets()
 {
     static prometheus::Histogram::BucketBoundaries const s_buckets{
@@ -68,8 +68,8 @@
     if (auto const* placed = std::get_if<decide::dispatch>(&decision)) {
         char const* const kind = placed->attempt <= 1 ? "first" : "retry";
         m_placements.Add({{"attempt", kind}}).Increment();
-    } else if (auto const* no = std::get_if<decide::refuse>(&decision)) {
-        m_refusals.Add({{"reason", no->reason}}).Increment();
+    } else if (auto const* refusal = std::get_if<decide::refuse>(&decision)) {
+        m_refusals.Add({{"reason", refusal->reason}}).Increment();
     }
 }
 
@@ -94,11 +94,12 @@
     if (kind == nullptr || ended.outcome != model::outcome::ran) {
         return;
     }
-    auto const rest = ended.total_time - ended.first_byte;
-    bool const steady =
+    auto const streaming_time = ended.total_time - ended.first_byte;
+    bool const meets_inter_token_target =
         ended.tokens < 2
-        || rest <= kind->inter_token_target * (ended.tokens - 1);
-    bool const met = steady && ended.first_byte <= kind->first_token_target;
+        || streaming_time <= kind->inter_token_target * (ended.tokens - 1);
+    bool const met = meets_inter_token_target
+                     && ended.first_byte <= kind->first_token_target;
     m_targets.Add({{"class", kind->name}, {"met", met ? "true" : "false"}})
         .Increment();
     if (met) {
--- a/src/program/metrics.hpp
+++ b/src/program/metrics.hpp
@@ -17,8 +17,8 @@
 
 namespace caperjunction::program {
 
-/// The process's metrics. Every label takes its values from the lists or
-/// from a fixed set, so that no caller can make a series of its own.
+/// Metrics of the process. The values of all labels come from the lists or from
+/// fixed sets, so that a caller cannot create new time series.
 ///
 /// Thread safety: all methods may be called by any thread.
 class metrics
@@ -28,13 +28,13 @@
 
     void count_decision(decide::decision const& decision);
     void count_ended(net::exchange_ended const& ended);
-    /// Whether an answer that ran was within its class's targets.
+    /// Counts whether a completed answer met the targets of its class.
     void count_target(net::exchange_ended const& ended,
                       lists::catalogue const& catalogue);
     void count_list(bool accepted);
     void set_revision(std::uint64_t revision);
 
-    /// In the text format that Prometheus reads.
+    /// Returns the metrics in the Prometheus text format.
     std::string text() const;
 
 private:
--- a/src/program/peer_fetcher.cpp
+++ b/src/program/peer_fetcher.cpp
@@ -8,15 +8,16 @@
 namespace {
 
 constexpr model::milliseconds connect_timeout{300};
-/// A host that sends nothing for so long is left for another. On a full link
-/// many answers take turns.
+/// A fetch without progress for this time is aborted, and another host can be
+/// tried. The limit allows for a congested link on which many answers take
+/// turns.
 constexpr model::milliseconds idle_timeout{1'000};
 constexpr int ok = 200;
 
 } // namespace
 
-peer_fetcher::peer_fetcher(runtime::event_loop& loop, hooks call)
-    : m_call(std::move(call))
+peer_fetcher::peer_fetcher(runtime::event_loop& loop, hooks callbacks)
+    : m_hooks(std::move(callbacks))
     , m_get(loop)
 {
 }
@@ -35,12 +36,13 @@
     m_get.start(
         request,
         {[this, peer, path, since](int status, std::string const& body) {
-             bool const taken = status == ok && m_call.on_body(path, body);
+             bool const taken = status == ok && m_hooks.on_body(path, body);
              ended({peer, path, since, "", status},
                    taken ? "taken" : "unreadable");
          },
          [this, peer, path, since](std::string_view reason) {
-             // Asked again, perhaps elsewhere, as long as it is needed.
+             // `peer_lists` fetches again, possibly from another host, as
+             // long as the list is missing.
              ended({peer, path, since}, reason);
          }});
 }
@@ -49,7 +51,7 @@
 {
     report.outcome = outcome;
     report.progress = m_get.progress();
-    m_call.on_ended(report);
+    m_hooks.on_ended(report);
 }
 
 } // namespace caperjunction::program
--- a/src/program/peer_fetcher.hpp
+++ b/src/program/peer_fetcher.hpp
@@ -13,27 +13,27 @@
 
 namespace caperjunction::program {
 
-/// Where hosts give each other the changes of upstreams.
+/// Path at which hosts serve upstream changes to each other.
 constexpr char const* upstreams_path = "/peer/upstreams";
-/// Where they give each other the configuration.
+/// Path at which hosts serve the configuration to each other.
 constexpr char const* configuration_path = "/peer/configuration";
-/// Both in one list, for hosts of earlier versions.
+/// Path of the combined list, for hosts of earlier versions.
 constexpr char const* items_path = "/peer/items";
 
-/// How one call for what another host has ended, for the log and the metrics.
+/// Result of one fetch from another host, for the log and the metrics.
 struct fetch_report
 {
     model::endpoint from;
     std::string_view path;
-    /// What was asked for: all changes after this one.
+    /// Revision after which changes were requested.
     std::uint64_t since = 0;
-    /// taken, unreadable, or why there is no answer.
+    /// `taken`, `unreadable`, or the reason for a missing answer.
     std::string_view outcome;
     int status = 0;
     proxy::get_progress progress;
 };
 
-/// Asks another host for what it has read of the platform's store.
+/// Fetches another host's replicated state of the platform's store.
 ///
 /// Thread safety: none; owned by the loop's task.
 class peer_fetcher
@@ -41,17 +41,17 @@
 public:
     struct hooks
     {
-        /// False if the bytes can't be read.
+        /// Returns false if the body cannot be decoded.
         std::function<bool(std::string_view path, std::string const& body)>
             on_body;
-        /// Called for each call that ended, after `on_body`.
+        /// Called at the end of each fetch, after `on_body`.
         std::function<void(fetch_report const&)> on_ended;
     };
 
-    peer_fetcher(runtime::event_loop& loop, hooks call);
+    peer_fetcher(runtime::event_loop& loop, hooks callbacks);
 
-    /// Begins to ask for what `path` gives; what was asked before is given up.
-    /// \pre path outlives the call.
+    /// Starts a request for `path` and cancels the previous one.
+    /// \pre `path` outlives the request.
     void fetch(model::endpoint const& peer,
                std::string_view path,
                std::uint64_t since);
@@ -64,7 +64,7 @@
 private:
     void ended(fetch_report report, std::string_view outcome);
 
-    hooks m_call;
+    hooks m_hooks;
     proxy::http_get m_get;
 };
 
--- a/src/program/peer_lists.cpp
+++ b/src/program/peer_lists.cpp
@@ -22,10 +22,10 @@
 
 peer_lists::peer_lists(proxy::relay_context& context,
                        store_replica& replica,
-                       hooks call)
+                       hooks callbacks)
     : m_context(context)
     , m_replica(replica)
-    , m_call(std::move(call))
+    , m_hooks(std::move(callbacks))
     , m_upstreams{routing::list_kind::upstreams,
                   upstreams_path,
                   {},
@@ -46,7 +46,7 @@
                 list.scheduler.back_off(ended.progress.bytes,
                                         m_context.peers.near_count(),
                                         m_context.loop.now());
-                m_call.on_ended(ended);
+                m_hooks.on_ended(ended);
             }};
 }
 
@@ -115,7 +115,7 @@
         }
         m_replica.merge(*items);
     }
-    m_call.on_merged(before);
+    m_hooks.on_merged(before);
     return true;
 }
 
--- a/src/program/peer_lists.hpp
+++ b/src/program/peer_lists.hpp
@@ -14,8 +14,8 @@
 
 namespace caperjunction::program {
 
-/// Gives other hosts what this one has read of the store, and asks them for
-/// what it lacks: upstreams and the configuration each by calls of their own.
+/// Serves this host's replica of the store to other hosts, and fetches missing
+/// changes from them. Upstreams and the configuration use separate requests.
 ///
 /// Thread safety: none; owned by the loop's task.
 class peer_lists
@@ -23,23 +23,24 @@
 public:
     struct hooks
     {
-        /// Something came from another host, which knew more than `before`.
+        /// Called after a list from another host was merged. `before` are the
+        /// revisions before the merge.
         std::function<void(routing::store_revisions const& before)> on_merged;
         std::function<void(fetch_report const&)> on_ended;
     };
 
     peer_lists(proxy::relay_context& context,
                store_replica& replica,
-               hooks call);
+               hooks callbacks);
 
-    /// Adds what other hosts ask for.
+    /// Registers the paths that other hosts request.
     void serve_on(net::admin_server& server);
 
-    /// Asks for what is lacking, if it is time to.
+    /// Starts the fetches that are due.
     void fetch();
 
-    /// For how long a change of upstreams has been known to others that this
-    /// host lacks.
+    /// Returns the time for which peers have had a change of upstreams that
+    /// this host lacks.
     model::milliseconds upstreams_lag();
 
 private:
@@ -57,9 +58,9 @@
 
     proxy::relay_context& m_context;
     store_replica& m_replica;
-    hooks m_call;
-    /// False: the last configuration that came couldn't be read against the
-    /// one here; the next is asked for whole.
+    hooks m_hooks;
+    /// False if the last received configuration could not be decoded against
+    /// the stored one. The next request then asks for the full text.
     bool m_requests_delta = true;
     std::minstd_rand m_random{std::random_device{}()};
     list_fetch m_upstreams;
--- a/src/program/policy.hpp
+++ b/src/program/policy.hpp
@@ -15,7 +15,7 @@
 
 namespace caperjunction::program {
 
-/// Runs the decision logic, logs each decision and keeps its trail.
+/// Runs the decision logic, logs each decision and records it in the trail.
 ///
 /// Thread safety: none; owned by one task.
 class policy
@@ -29,14 +29,14 @@
 
     void handle(decide::event const& event);
 
-    /// Notes a request before the decision logic has it: one that waits for
-    /// its claim first. Noting it again does nothing.
+    /// Records a request that waits for its claim, before the decision logic
+    /// receives it. Does nothing if the request is already recorded.
     void record_arrival(decide::request const& request);
 
-    /// The exchange is over; it is logged and forgotten but for its trail.
+    /// Logs the end of an exchange and removes the request; its trail stays.
     void finish(net::exchange_ended const& ended);
 
-    /// Revision of the lists, for the log.
+    /// Sets the revision of the lists that log lines contain.
     void set_list_revision(std::uint64_t revision)
     {
         m_revision = revision;
--- a/src/program/report.cpp
+++ b/src/program/report.cpp
@@ -45,8 +45,8 @@
 
 net::admin_answer explain_answer(trail const& trail, std::string const& id)
 {
-    model::request_id wanted;
-    if (!absl::SimpleHexAtoi(id, &wanted.value)) {
+    model::request_id requested_id;
+    if (!absl::SimpleHexAtoi(id, &requested_id.value)) {
         return json_answer(
             400,
             {{"error",
@@ -54,15 +54,15 @@
                {"remedy",
                 "give the value of the caperjunction-request-id header"}}}});
     }
-    auto const& steps = trail.steps(wanted);
+    auto const& steps = trail.steps(requested_id);
     if (steps.empty()) {
         return json_answer(
             404,
             {{"error",
-              {{"message", "this host knows no such request"},
+              {{"message", "this host has no trail of this request"},
                {"remedy",
-                "ask the host that the caller reached; the oldest requests "
-                "are forgotten first"}}}});
+                "query the host that the caller reached; the trails of the "
+                "oldest requests are removed first"}}}});
     }
     json list = json::array();
     for (trail_step const& step : steps) {
--- a/src/program/report.hpp
+++ b/src/program/report.hpp
@@ -11,7 +11,7 @@
 
 namespace caperjunction::program {
 
-/// One host's own view, for `status`.
+/// A host's view of itself and the fleet, for `status`.
 struct host_status
 {
     std::string host;
@@ -20,23 +20,23 @@
     bool ready = false;
     bool stopping = false;
     std::map<std::string, std::uint64_t> revisions;
-    /// State of each listed host, as this one sees it.
+    /// State of each listed host in this host's view.
     std::map<std::string, std::string> hosts;
-    /// Claims that this host remembers as a witness.
+    /// Number of claims that this host stores as a witness.
     std::uint64_t claims = 0;
 };
 
-/// The trail of the request with this id (hex), as JSON.
+/// Returns the trail of the request with the hexadecimal `id`, as JSON.
 net::admin_answer explain_answer(trail const& trail, std::string const& id);
 
-/// The status page, as JSON.
+/// Returns the status page as JSON.
 net::admin_answer status_answer(host_status const& status,
                                 request_tracker const& requests);
 
-/// The JSON of `explain_answer` as a timeline for a person.
+/// Formats the JSON of `explain_answer` as a readable timeline.
 std::string explain_table(std::string const& json_text);
 
-/// The JSON of `status_answer` as tables for a person.
+/// Formats the JSON of `status_answer` as readable tables.
 std::string status_table(std::string const& json_text);
 
 } // namespace caperjunction::program
--- a/src/program/request_tracker.cpp
+++ b/src/program/request_tracker.cpp
@@ -22,8 +22,8 @@
         if (found != m_requests.end()) {
             found->second.upstream = placed->upstream;
         }
-    } else if (auto const* no = std::get_if<decide::refuse>(&decision)) {
-        ++m_refused[no->reason];
+    } else if (auto const* refusal = std::get_if<decide::refuse>(&decision)) {
+        ++m_refused[refusal->reason];
     }
 }
 
--- a/src/program/request_tracker.hpp
+++ b/src/program/request_tracker.hpp
@@ -12,17 +12,17 @@
 
 namespace caperjunction::program {
 
-/// What the log and the status page say of a request.
+/// Facts about a request, for the log and the status page.
 struct request_facts
 {
     std::string customer;
     std::string service_class;
-    /// Where it runs; empty while it waits.
+    /// Upstream that runs the request; empty while it waits.
     std::string upstream;
 };
 
-/// Counts what is running, waiting and refused on this host, from events and
-/// decisions alone, for the status page and the metrics.
+/// Tracks the running, waiting and refused requests of this host from events
+/// and decisions, for the status page and the metrics.
 ///
 /// Thread safety: none; owned by one task.
 class request_tracker
@@ -31,10 +31,10 @@
     void record(decide::event const& event);
     void record(decide::decision const& decision);
 
-    /// The exchange is over; nothing is kept of it.
+    /// Removes a request whose exchange has ended.
     void forget(model::request_id id);
 
-    /// Empty facts if the request is not known.
+    /// Returns empty facts if the request is unknown.
     request_facts const& facts(model::request_id id) const;
 
     bool knows(model::request_id id) const
--- a/src/program/routed_flags.cpp
+++ b/src/program/routed_flags.cpp
@@ -16,37 +16,37 @@
 ABSL_FLAG(caperjunction::program::endpoint_flag,
           metrics_listen,
           caperjunction::program::endpoint_flag{},
-          "route: where metrics are served beside the admin address");
-ABSL_FLAG(
-    std::string,
-    seeds,
-    "",
-    "route: hosts that know of others, ADDRESS:PORT of their peer_listen, "
-    "separated by commas");
+          "route: additional address for metrics, beside the admin address");
+ABSL_FLAG(std::string,
+          seeds,
+          "",
+          "route: hosts to contact first for discovery, ADDRESS:PORT of their "
+          "peer_listen, separated by commas");
 ABSL_FLAG(std::uint16_t,
           seed_port,
           0,
-          "route: port of all seeds; 0: as each of them says");
+          "route: port of all seeds; 0: use the port of each seed");
 ABSL_FLAG(absl::Duration,
           key_lifetime,
           absl::Seconds(5),
-          "route: how long keys are accepted without word from the platform");
+          "route: time for which keys are accepted without confirmation by the "
+          "platform");
 ABSL_FLAG(absl::Duration,
           apply_limit,
           absl::Milliseconds(2500),
-          "route: time within which a published change has to be in force");
+          "route: time within which a published change must be in force");
 ABSL_FLAG(double,
           retry_ratio,
           0.2,
-          "route: second sends that each request pays for, fleet-wide");
+          "route: retries allowed per request, fleet-wide");
 ABSL_FLAG(double,
           retry_extra,
           50.0,
-          "route: second sends that the fleet may make beyond that");
+          "route: additional retries allowed for the whole fleet");
 ABSL_FLAG(absl::Duration,
           stop_limit,
           absl::Seconds(8),
-          "route: time from the signal to stop until the process is killed");
+          "route: time from the stop signal until the process is killed");
 
 namespace caperjunction::program {
 namespace {
@@ -56,13 +56,13 @@
     nlohmann::json const from = nlohmann::json::parse(text, nullptr, false);
     std::map<std::string, std::string> regions;
     if (!from.is_object()) {
-        refuse_setting("--regions is no JSON object",
-                       "write {\"centre\":\"region\"}");
+        refuse_setting("--regions is not a JSON object",
+                       "set it to {\"centre\":\"region\"}");
     }
     for (auto const& [centre, region] : from.items()) {
         if (!region.is_string()) {
-            refuse_setting("--regions names no region for " + centre,
-                           "write {\"centre\":\"region\"}");
+            refuse_setting("--regions has no region for " + centre,
+                           "set it to {\"centre\":\"region\"}");
         }
         regions.emplace(centre, region.get<std::string>());
     }
@@ -77,7 +77,8 @@
         endpoint_flag seed;
         std::string reason;
         if (!AbslParseFlag(part, &seed, &reason)) {
-            refuse_setting("--seeds names no address: " + std::string(part),
+            refuse_setting("--seeds contains an invalid address: "
+                               + std::string(part),
                            reason);
         }
         if (std::uint16_t const port = absl::GetFlag(FLAGS_seed_port);
@@ -110,7 +111,7 @@
     loaded.relay.peer_listen = absl::GetFlag(FLAGS_peer_listen).value;
     loaded.relay.seeds = read_seeds(absl::GetFlag(FLAGS_seeds));
     loaded.relay.listen = absl::GetFlag(FLAGS_listen).value;
-    // Below a second no confirmation of keys would come in time.
+    // With less than a second, keys expire before they can be confirmed.
     loaded.relay.key_lifetime =
         duration_in_range(absl::GetFlag(FLAGS_key_lifetime),
                           absl::Seconds(1),
--- a/src/program/routed_flags.hpp
+++ b/src/program/routed_flags.hpp
@@ -5,7 +5,7 @@
 
 namespace caperjunction::program {
 
-/// The settings as file, flags and environment give them.
+/// Returns the settings from the settings file, the flags and the environment.
 ///
 /// \pre The command line has been read.
 /// \throws model::error (bad_settings) with the remedy.
--- a/src/program/routed_host.cpp
+++ b/src/program/routed_host.cpp
@@ -19,7 +19,7 @@
 namespace caperjunction::program {
 namespace {
 
-/// How often the settings file is looked at: it may change without a signal.
+/// Poll interval of the settings file, which may change without a signal.
 constexpr model::milliseconds settings_period{1'000};
 
 model::time_point boot_now()
@@ -35,11 +35,11 @@
 routing::upstream_directory::distance_of
 distance_from(routed_settings const& settings)
 {
-    return [settings](std::string const& centre) {
-        if (centre == settings.data_centre) {
+    return [settings](std::string const& data_centre) {
+        if (data_centre == settings.data_centre) {
             return routing::distance::same_data_centre;
         }
-        auto const region = settings.regions.find(centre);
+        auto const region = settings.regions.find(data_centre);
         return region != settings.regions.end()
                        && region->second == settings.region
                    ? routing::distance::same_region
@@ -98,31 +98,31 @@
         serve_peers();
     }
     for (std::string const& prefix : m_codec.prefixes) {
-        proxy::store_hooks call;
-        call.on_item = [this](proxy::store_item const& item) {
+        proxy::store_hooks hooks;
+        hooks.on_item = [this](proxy::store_item const& item) {
             m_replica.apply(item);
         };
-        call.on_complete = [this](std::vector<std::string> const& keys) {
+        hooks.on_complete = [this](std::vector<std::string> const& keys) {
             m_replica.retain_only(keys);
             record_first_read();
         };
-        call.on_confirmed = [this](model::time_point as_of,
-                                   std::uint64_t revision) {
+        hooks.on_confirmed = [this](model::time_point as_of,
+                                    std::uint64_t revision) {
             routing::store_revisions const before = m_context.known;
             m_replica.commit(revision);
             m_context.keys.renew(as_of);
             broadcast_change(before);
         };
-        call.on_lost = [this](proxy::store_failure const& loss) {
-            log_store_lost(loss);
+        hooks.on_lost = [this](proxy::store_failure const& failure) {
+            log_store_lost(failure);
         };
-        call.on_regained = [this] {
+        hooks.on_regained = [this] {
             m_context.directory.store_regained(m_loop.now());
             runtime::log_line("store_regained")
                 .field("config_age_ms", m_context.keys.age(boot_now()).count());
         };
         m_readers.push_back(std::make_unique<proxy::store_reader>(
-            m_loop, m_settings.platform, m_codec, prefix, std::move(call)));
+            m_loop, m_settings.platform, m_codec, prefix, std::move(hooks)));
     }
 }
 
@@ -230,7 +230,7 @@
         runtime::log_line("reloaded")
             .field("key_lifetime_ms", read.relay.key_lifetime.count());
     } catch (model::error const& failure) {
-        // The settings in force stay.
+        // The current settings stay in force.
         runtime::log_line("reload_refused")
             .field("message", failure.what())
             .field("remedy", failure.remedy());
--- a/src/program/routed_host.hpp
+++ b/src/program/routed_host.hpp
@@ -21,17 +21,17 @@
 
 namespace caperjunction::program {
 
-/// One process that serves published routes: one loop on one thread owns the
-/// callers, the upstreams, the store's reader and all beliefs.
+/// Host process that serves published routes. One event loop on one thread owns
+/// the callers, the upstreams, the store readers and the replicated state.
 ///
 /// Thread safety: none.
 class routed_host
 {
 public:
-    /// \throws model::error (bad_settings) if an address is not to be had.
+    /// \throws model::error (bad_settings) if an address cannot be bound.
     explicit routed_host(routed_settings const& settings);
 
-    /// Runs until a planned stop is over.
+    /// Runs until a planned stop has completed.
     int run();
 
 private:
@@ -46,7 +46,7 @@
     void log_connection(proxy::connection_report const& ended);
     void log_limit(routing::upstream_state const& state);
     void log_fetch(fetch_report const& ended);
-    void log_store_lost(proxy::store_failure const& loss);
+    void log_store_lost(proxy::store_failure const& failure);
     void plan_stop();
     void reload();
     bool is_ready() const;
@@ -73,7 +73,7 @@
     bool m_has_read = false;
 };
 
-/// Runs a host until it is stopped; gives the process's exit status.
+/// Runs a host until it is stopped. Returns the process's exit status.
 int serve_routes(routed_settings const& settings);
 
 } // namespace caperjunction::program
--- a/src/program/routed_host_log.cpp
+++ b/src/program/routed_host_log.cpp
@@ -107,14 +107,14 @@
         .field("is_among_them", share.participates);
 }
 
-void routed_host::log_store_lost(proxy::store_failure const& loss)
+void routed_host::log_store_lost(proxy::store_failure const& failure)
 {
     runtime::log_line("store_lost")
-        .field("why", loss.reason)
-        .field("call", loss.call)
-        .field("bytes", loss.progress.bytes)
-        .field("total_ms", loss.progress.total.count())
-        .field("quiet_ms", loss.progress.idle.count())
+        .field("why", failure.reason)
+        .field("call", failure.call)
+        .field("bytes", failure.progress.bytes)
+        .field("total_ms", failure.progress.total.count())
+        .field("quiet_ms", failure.progress.idle.count())
         .field("config_age_ms",
                m_context.keys.age(m_context.boot_now()).count());
 }
--- a/src/program/routed_host_peers.cpp
+++ b/src/program/routed_host_peers.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr model::milliseconds fetch_period{250};
-/// A host that hears nothing new looks at the store itself after this part
-/// of the time in which a change must be in force.
+/// A host that receives no updates polls the store itself after the apply limit
+/// divided by this number.
 constexpr int polls_per_apply_limit = 2;
 
 } // namespace
@@ -37,7 +37,8 @@
     });
 }
 
-// Those that wait for this host to bring changes into the data centre.
+// Only store watchers and aggregators broadcast: the other hosts of the data
+// centre depend on them for changes.
 void routed_host::broadcast_change(routing::store_revisions const& before)
 {
     bool const distributes_changes =
--- a/src/program/routed_metrics.cpp
+++ b/src/program/routed_metrics.cpp
@@ -12,7 +12,8 @@
     return s_buckets;
 }
 
-// Seconds; around the latency targets and deadlines of usual routes.
+// Bucket bounds in seconds, around the latency targets and deadlines of usual
+// routes.
 prometheus::Histogram::BucketBoundaries const& seconds_buckets()
 {
     static prometheus::Histogram::BucketBoundaries const s_buckets{
--- a/src/program/routed_metrics.hpp
+++ b/src/program/routed_metrics.hpp
@@ -17,8 +17,8 @@
 
 namespace caperjunction::program {
 
-/// The metrics of a host that serves published routes. Labels take their
-/// values from the configuration or from a fixed set.
+/// Metrics of a host that serves published routes. The values of all labels
+/// come from the configuration or from fixed sets.
 ///
 /// Thread safety: all methods may be called by any thread.
 class routed_metrics
@@ -29,14 +29,14 @@
     void count(proxy::exchange_report const& ended);
     void count(proxy::connection_report const& ended);
     void count(fetch_report const& ended);
-    /// Counts a delay of the loop.
+    /// Records a delay of the event loop.
     void count_late(model::milliseconds late);
     void set_store_state(std::uint64_t config_version,
                          double config_age_s,
                          double upstreams);
     void set_work(double callers, double connections, double dropped_lines);
 
-    /// In the text format that Prometheus reads.
+    /// Returns the metrics in the Prometheus text format.
     std::string text() const;
 
 private:
--- a/src/program/routed_settings.hpp
+++ b/src/program/routed_settings.hpp
@@ -10,7 +10,7 @@
 
 namespace caperjunction::program {
 
-/// What the operator sets for a host that serves published routes.
+/// Operator settings of a host that serves published routes.
 struct routed_settings
 {
     std::string host_name;
@@ -19,7 +19,7 @@
     /// The region of each data centre.
     std::map<std::string, std::string> regions;
     model::endpoint admin_listen;
-    /// Port 0: metrics are served on the admin address alone.
+    /// With port 0, metrics are served on the admin address only.
     model::endpoint metrics_listen;
     model::endpoint platform;
     proxy::relay_settings relay;
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -13,8 +13,8 @@
 namespace caperjunction::program {
 namespace {
 
-/// Wires the relay's task to the control task; the main thread runs the
-/// latter.
+/// Connects the relay task and the control task. The main thread runs the
+/// control task.
 class host_process
 {
 public:
@@ -63,11 +63,11 @@
     }
 
 private:
-    // Two hosts, or two processes of one host, must not give out equal ids.
-    static settings with_prefix(settings given)
+    // Request ids must differ between hosts and between processes of a host.
+    static settings with_prefix(settings settings_with_prefix)
     {
-        given.relay.id_prefix = std::random_device{}();
-        return given;
+        settings_with_prefix.relay.id_prefix = std::random_device{}();
+        return settings_with_prefix;
     }
 
     event* watch_signal(int number)
--- a/src/program/settings.hpp
+++ b/src/program/settings.hpp
@@ -9,7 +9,7 @@
 
 namespace caperjunction::program {
 
-/// Everything that the operator sets for one process.
+/// Operator settings of one process.
 struct settings
 {
     std::string host_name;
@@ -18,17 +18,17 @@
     model::endpoint admin_listen;
     model::endpoint peer_listen;
     model::endpoint platform;
-    /// Shared by all hosts; empty means that no peer is spoken to.
+    /// Secret shared by all hosts. The peer link is disabled if it is empty.
     std::string peer_secret;
-    /// This is the first start of all: no call of an earlier fleet can be
-    /// sent again.
+    /// Set at the first start of the whole fleet, when no call of an earlier
+    /// fleet can be resent.
     bool first_fleet = false;
     net::relay_settings relay;
-    /// From readiness false to the last connection taken.
+    /// Time from the loss of readiness until new connections are rejected.
     model::milliseconds drain_delay{5'000};
-    /// Longest time that a planned stop waits for running answers.
+    /// Maximum time for which a planned stop waits for running answers.
     model::milliseconds drain_limit{600'000};
-    /// Longest time that a watch waits at the platform's service.
+    /// Maximum time for which a watch waits at the platform's service.
     model::milliseconds watch_wait{10'000};
 };
 
--- a/src/program/settings_file.cpp
+++ b/src/program/settings_file.cpp
@@ -20,18 +20,18 @@
 {
     std::size_t const equals = line.find('=');
     if (line.compare(0, 2, "--") != 0 || equals == std::string::npos) {
-        refuse(absl::StrCat(where, " is no setting"), "write --name=value");
+        refuse(absl::StrCat(where, " is not a setting"), "use --name=value");
     }
     std::string const name = line.substr(2, equals - 2);
     absl::CommandLineFlag* const flag = absl::FindCommandLineFlag(name);
     if (flag == nullptr) {
-        refuse(absl::StrCat(where, ": there is no flag --", name),
+        refuse(absl::StrCat(where, ": unknown flag --", name),
                "see caperjunction --help for the flags");
     }
     std::string reason;
     if (!flag->ParseFrom(line.substr(equals + 1), &reason)) {
-        refuse(absl::StrCat(where, ": --", name, " has a bad value"),
-               reason.empty() ? "see caperjunction --help for its form"
+        refuse(absl::StrCat(where, ": --", name, " has an invalid value"),
+               reason.empty() ? "see caperjunction --help for its format"
                               : reason);
     }
 }
@@ -43,7 +43,7 @@
     std::ifstream file(path);
     if (!file) {
         refuse(absl::StrCat("cannot read ", path),
-               "name a readable file with --config");
+               "set --config to a readable file");
     }
     std::string line;
     for (int number = 1; std::getline(file, line); ++number) {
--- a/src/program/settings_file.hpp
+++ b/src/program/settings_file.hpp
@@ -5,11 +5,11 @@
 
 namespace caperjunction::program {
 
-/// Sets the flags that a file names, one `--name=value` a line; empty lines
-/// and lines that begin with # are skipped.
+/// Sets the flags in a file with one `--name=value` per line. Empty lines and
+/// lines that begin with # are skipped.
 ///
-/// \throws model::error (bad_settings) if the file can't be read, a line is
-/// no flag or a value is bad.
+/// \throws model::error (bad_settings) if the file cannot be read, a line is
+/// not a flag or a value is invalid.
 void apply_settings_file(std::string const& path);
 
 } // namespace caperjunction::program
--- a/src/program/store_replica.cpp
+++ b/src/program/store_replica.cpp
@@ -10,7 +10,8 @@
 namespace caperjunction::program {
 namespace {
 
-/// Hosts ask within a second; more than an hour of usual removals.
+/// Covers more than an hour of removals at the usual rate. Peers request
+/// changes within a second.
 constexpr std::size_t max_removals = 1'024;
 
 } // namespace
@@ -117,7 +118,7 @@
     }
     if (list.since == 0) {
         for (auto const& [key, item] : m_items) {
-            // The store told this host of it later than the sender.
+            // This host has a newer item from the store than the sender.
             if (item.revision > list.revision) {
                 keys.push_back(key);
             }
@@ -206,7 +207,7 @@
                 .field("revision", item.revision);
         }
     } catch (model::error const& failure) {
-        // The configuration in force stays.
+        // The current configuration stays in force.
         runtime::log_line("config_refused")
             .field("revision", item.revision)
             .field("message", failure.what())
--- a/src/program/store_replica.hpp
+++ b/src/program/store_replica.hpp
@@ -14,8 +14,9 @@
 
 namespace caperjunction::program {
 
-/// What a host has read of the platform's store, decoded into its routes and
-/// upstreams, and kept as it was for hosts that can't read it themselves.
+/// A host's replica of the platform's store. Decodes the items into routes and
+/// upstreams, and keeps the encoded items for hosts that cannot read the store
+/// themselves.
 ///
 /// Thread safety: none; owned by the loop's task.
 class store_replica
@@ -24,41 +25,43 @@
     store_replica(proxy::relay_context& context,
                   proxy::store_codec const& codec);
 
-    /// The store gave this item. What is older than what is known here changes
-    /// nothing: the store's reader may lag behind what other hosts have told.
+    /// Applies an item that was read from the store. An item that is older than
+    /// the replica's is ignored: the store reader may lag behind the changes
+    /// received from other hosts.
     void apply(proxy::store_item const& item);
 
-    /// All changes of both lanes up to `revision` are applied, which the store
-    /// has named.
+    /// Records that all changes of both list kinds up to `revision` are
+    /// applied. The store reports this revision.
     ///
-    /// The newest item held says nothing of that: a whole read comes in pages
-    /// that are no snapshot, and a later page may hold a change that is newer
-    /// than one which the first page just missed. A host that took the newest
-    /// item for its revision gave others a list with a gap that none of them
-    /// could notice: they went on with old routes and keys and believed them
+    /// The revision of the newest item is no substitute. A complete read comes
+    /// in pages that are not a snapshot, so a later page may contain a change
+    /// that is newer than one which an earlier page missed. A host that uses
+    /// the newest item's revision sends other hosts a list with a gap that they
+    /// cannot detect: they keep outdated routes and keys and treat them as
     /// confirmed.
     void commit(std::uint64_t revision);
 
-    /// The store was read whole: what is not among `keys` is missing.
+    /// Removes all upstreams that are not in `keys`, after a complete read.
     void retain_only(std::vector<std::string> const& keys);
 
-    /// Another host gave its upstreams. Items that are older than what is
-    /// known here change nothing.
+    /// Merges another host's upstreams. Items that are older than the
+    /// replica's are ignored.
     void merge(proxy::item_list const& list);
 
-    /// Another host gave its configuration. An older one changes nothing.
-    /// False if it can't be read; it is to be asked for whole then.
+    /// Merges another host's configuration; an older one is ignored. Returns
+    /// false if it cannot be decoded; the caller has to request the full text.
     bool merge(proxy::packed_configuration const& received);
 
-    /// Upstreams that have changed after revision `since`; all, if that is 0 or
-    /// too long ago.
+    /// Returns the upstreams that changed after revision `since`, or all of
+    /// them if `since` is 0 or older than the stored removals.
     proxy::item_list changes(std::uint64_t since) const;
 
-    /// The newest configuration, for a host that has that of revision `base`;
-    /// revision 0 if there is none.
+    /// Returns the newest configuration as a delta for a host that has
+    /// revision `base`; its revision is 0 if there is no configuration.
     proxy::packed_configuration configuration(std::uint64_t base);
 
-    /// Both in one list, for hosts of versions that know no other.
+    /// Returns upstreams and configuration in one list, for hosts of earlier
+    /// versions that request both together.
     proxy::item_list all_changes(std::uint64_t since) const;
 
     std::uint64_t config_version() const;
@@ -75,16 +78,17 @@
 
     proxy::relay_context& m_context;
     proxy::store_codec const& m_codec;
-    /// Without the configuration.
+    /// All items except the configuration, by key.
     std::map<std::string, proxy::store_item> m_items;
     configuration_history m_configurations;
-    /// Removals, by revision, the newest `most_removals`.
+    /// Keys of the newest `max_removals` removed items, by revision.
     std::map<std::uint64_t, std::string> m_removed;
+    /// Revision up to which `m_removed` may be incomplete.
     std::uint64_t m_last_evicted_removal = 0;
-    /// Items were found missing by a whole read: at which revision each was
-    /// removed is not known, so that peers that know less get all that there
-    /// is. Told only what has changed, they kept sending to upstreams that
-    /// had left.
+    /// A complete read found items missing. The revisions of their removals are
+    /// unknown, so peers with an older revision get the complete list. With
+    /// changes only, they keep sending requests to upstreams that were
+    /// removed.
     bool m_has_undated_removals = false;
 };
 
--- a/src/program/trail.cpp
+++ b/src/program/trail.cpp
@@ -6,12 +6,12 @@
 
 void trail::add(model::request_id id, trail_step step)
 {
-    auto const [place, added] = m_steps.try_emplace(id);
+    auto const [entry, added] = m_steps.try_emplace(id);
     if (added) {
         m_order.push_back(id);
     }
-    if (place->second.size() < max_steps) {
-        place->second.push_back(std::move(step));
+    if (entry->second.size() < max_steps) {
+        entry->second.push_back(std::move(step));
     }
     if (m_order.size() > max_requests) {
         m_steps.erase(m_order.front());
--- a/src/program/trail.hpp
+++ b/src/program/trail.hpp
@@ -13,7 +13,7 @@
 
 namespace caperjunction::program {
 
-/// One step of a request's way through this host.
+/// One recorded step in the processing of a request.
 struct trail_step
 {
     model::time_point when{};
@@ -21,20 +21,21 @@
     std::vector<key_value> pairs;
 };
 
-/// The last requests of this host and what was decided about each, in
-/// bounded memory; the oldest request goes first.
+/// Recent requests of this host and the decisions about each, in bounded
+/// memory. The oldest request is removed first.
 ///
 /// Thread safety: none; owned by one task.
 class trail
 {
 public:
     static constexpr std::size_t max_requests = 4'096;
-    /// Later steps of one request are dropped: the first ones explain it.
+    /// Later steps of a request are dropped, because the first ones explain its
+    /// outcome.
     static constexpr std::size_t max_steps = 32;
 
     void add(model::request_id id, trail_step step);
 
-    /// Empty if the request is not known (any more).
+    /// Returns an empty list if the request is unknown or already removed.
     std::vector<trail_step> const& steps(model::request_id id) const;
 
 private:
