--- a/tests/fleet_processes/fleet_test.cpp
+++ b/tests/fleet_processes/fleet_test.cpp
@@ -34,7 +34,7 @@
     return found == all.end() ? 0 : found->second;
 }
 
-bool is_whole(stand_ins::caller_answer const& answer)
+bool is_complete(stand_ins::caller_answer const& answer)
 {
     return answer.status == 200
            && answer.body.find("data: [DONE]") != std::string::npos;
@@ -51,8 +51,8 @@
 
 } // namespace
 
-// A shop's reply is lost on its way, and the shop sends the booking again,
-// by way of another host. It must be charged once, and be told so.
+// The answer to a booking is lost, and the caller resends the booking through
+// another host. It must run once, and the resend must get the same answer.
 TEST_CASE("a booking that is resent to every host runs once")
 {
     runtime::event_loop loop;
@@ -61,19 +61,19 @@
     auto const first = fleet.book(0, "order-1");
     REQUIRE(fleet.wait(first));
     CHECK(first->status == 200);
-    for (std::size_t place = 0; place < fleet.hosts(); ++place) {
-        auto const again = fleet.book(place, "order-1");
-        REQUIRE(fleet.wait(again));
-        CHECK(again->status == 200);
-        CHECK(again->body == first->body);
+    for (std::size_t index = 0; index < fleet.hosts(); ++index) {
+        auto const resent = fleet.book(index, "order-1");
+        REQUIRE(fleet.wait(resent));
+        CHECK(resent->status == 200);
+        CHECK(resent->body == first->body);
     }
     CHECK(executions(fleet, "order-1") == 1);
 }
 
-// A host is killed while a booking that it dispatched is running. The shop
-// sees its connection break and sends the booking again elsewhere; whatever
-// it is told there, the booking must not run a second time.
-TEST_CASE("a booking whose host is killed is not run by another")
+// A host is killed while a booking that it dispatched is running. The caller's
+// connection breaks, and the caller resends the booking to other hosts. The
+// booking must not run again.
+TEST_CASE("a booking whose host is killed is not run by another host")
 {
     runtime::event_loop loop;
     auto options = seven_hosts();
@@ -85,38 +85,38 @@
     fleet.host(0).send_signal(SIGKILL);
     REQUIRE(fleet.wait(first));
     CHECK(first->end == net::call_end::broken);
-    for (std::size_t place = 1; place < fleet.hosts(); ++place) {
-        auto const again = fleet.book(place, "order-2");
-        REQUIRE(fleet.wait(again));
-        CHECK(outcome_of(*again) == "unknown");
+    for (std::size_t index = 1; index < fleet.hosts(); ++index) {
+        auto const resent = fleet.book(index, "order-2");
+        REQUIRE(fleet.wait(resent));
+        CHECK(outcome_of(*resent) == "unknown");
     }
     fleet.run_for(500ms);
     CHECK(executions(fleet, "order-2") <= 1);
 }
 
-// A host is frozen with a booking in its hands, and the shop sends it again
-// elsewhere. When the host wakes it still believes that the booking is its
-// own to run; acting on that would charge the client twice.
-TEST_CASE("a host that sleeps with a booking does not run it after another")
+// A host is suspended while it handles bookings, and the caller resends them to
+// another host. When the host resumes, its state still says that it may run
+// them. If it does, the customer is charged twice.
+TEST_CASE("a suspended host does not run a booking after another host did")
 {
     runtime::event_loop loop;
     process_fleet fleet(loop, seven_hosts());
     REQUIRE(fleet.wait_until_joined());
-    std::vector<std::shared_ptr<stand_ins::caller_answer>> late;
+    std::vector<std::shared_ptr<stand_ins::caller_answer>> pending;
     for (int number = 0; number < 8; ++number) {
         std::string const key = "order-" + std::to_string(100 + number);
-        late.push_back(fleet.book(0, key));
+        pending.push_back(fleet.book(0, key));
     }
     fleet.host(0).send_signal(SIGSTOP);
     for (int number = 0; number < 8; ++number) {
         std::string const key = "order-" + std::to_string(100 + number);
-        auto const again = fleet.book(1, key);
-        REQUIRE(fleet.wait(again));
-        CHECK(outcome_of(*again) != "");
+        auto const resent = fleet.book(1, key);
+        REQUIRE(fleet.wait(resent));
+        CHECK(outcome_of(*resent) != "");
     }
     fleet.run_for(2'500ms);
     fleet.host(0).send_signal(SIGCONT);
-    for (auto const& answer : late) {
+    for (auto const& answer : pending) {
         REQUIRE(fleet.wait(answer));
     }
     for (int number = 0; number < 8; ++number) {
@@ -124,30 +124,30 @@
     }
 }
 
-// The operators replace every host, one after another, on an ordinary day.
-// Callers must see nothing of it: no stream is cut, and bookings go on.
-TEST_CASE("replacing all seven hosts under load cuts nothing off")
+// The operators replace all hosts one after another in normal operation. No
+// stream may be cut off, and bookings must still succeed.
+TEST_CASE("replacing all seven hosts under load cuts off no stream")
 {
     runtime::event_loop loop;
     process_fleet fleet(loop, seven_hosts());
     REQUIRE(fleet.wait_until_joined());
     std::vector<std::shared_ptr<stand_ins::caller_answer>> streams;
-    for (std::size_t place = 0; place < fleet.hosts(); ++place) {
-        streams.push_back(fleet.chat(place, "long", 80));
+    for (std::size_t index = 0; index < fleet.hosts(); ++index) {
+        streams.push_back(fleet.chat(index, "long", 80));
         fleet.run_for(50ms);
-        fleet.host(place).send_signal(SIGTERM);
+        fleet.host(index).send_signal(SIGTERM);
         fleet.run_for(100ms);
-        // The balancer has not noticed yet, and still sends work there.
-        streams.push_back(fleet.chat(place, "late", 20));
+        // The load balancer has not noticed yet and still sends requests.
+        streams.push_back(fleet.chat(index, "late", 20));
         REQUIRE(fleet.run_until([&] {
-            return fleet.host(place).has_ended();
+            return fleet.host(index).has_ended();
         }));
-        CHECK(fleet.host(place).wait() == 0);
-        fleet.start_host(place);
+        CHECK(fleet.host(index).wait() == 0);
+        fleet.start_host(index);
     }
     for (auto const& stream : streams) {
         REQUIRE(fleet.wait(stream));
-        CHECK(is_whole(*stream));
+        CHECK(is_complete(*stream));
     }
     REQUIRE(fleet.wait_until_joined());
     auto const booking = fleet.book(3, "order-3");
--- a/tests/program/booking_test.cpp
+++ b/tests/program/booking_test.cpp
@@ -33,9 +33,9 @@
     CHECK(site.service->executions().at("order-1") == 1);
 }
 
-// The service books, and dies before it can say so. Sending the booking
-// again would charge the client twice; saying that it did not run would make
-// the shop do just that.
+// The service executes the booking and crashes before it answers. If the host
+// dispatches the booking again, the customer is charged twice. The same happens
+// if the host reports `not-run`, because the caller then resends it.
 TEST_CASE("a booking whose answer is lost is unknown and is not run again")
 {
     tests::site site;
@@ -46,9 +46,9 @@
     CHECK(site.service->executions().at("order-2") == 1);
 }
 
-// No instance of the service can be reached: nothing was handed over, and
-// the shop may send the booking again at once.
-TEST_CASE("a booking that reached no service is told not to have run")
+// No instance of the service is reachable. Nothing was sent, so the caller may
+// resend the booking immediately.
+TEST_CASE("a booking that reached no service is reported as not run")
 {
     tests::site site;
     site.service.reset();
--- a/tests/program/configuration_history_test.cpp
+++ b/tests/program/configuration_history_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A configuration of many routes with names that repeat nothing.
+/// Returns a configuration with many routes whose names share no substrings.
 proxy::store_item many_routes(std::uint64_t revision, int timeout_ms)
 {
     std::minstd_rand random(7);
@@ -32,18 +32,18 @@
 
 } // namespace
 
-// Each host of a data centre gets the text over a link that carries callers'
-// answers too. Whole and as it is, twelve copies fill it for seconds.
-TEST_CASE("a large configuration is told in a fraction of its size")
+// Each host of a data centre receives the text over a link that also carries
+// answers to callers. Twelve uncompressed copies saturate it for seconds.
+TEST_CASE("a large configuration is sent in a fraction of its size")
 {
     program::configuration_history sender;
     sender.add(many_routes(10, 5'000));
-    std::size_t const whole = sender.newest().value.size();
-    CHECK(sender.pack(0).packed.size() * 5 < whole);
+    std::size_t const full_size = sender.newest().value.size();
+    CHECK(sender.pack(0).packed.size() * 5 < full_size);
 }
 
-// A change of one line costs a line, not the whole text again.
-TEST_CASE("a host that has the configuration before gets the difference")
+// The cost of a change of one line is one line, not the complete text.
+TEST_CASE("a host with the previous configuration gets the delta")
 {
     program::configuration_history sender;
     program::configuration_history receiver;
@@ -60,7 +60,7 @@
     CHECK(unpacked->revision == 14);
 }
 
-TEST_CASE("a host with a base that isn't known gets the whole text")
+TEST_CASE("a host with an unknown base gets the full text")
 {
     program::configuration_history sender;
     sender.add(many_routes(10, 5'000));
@@ -68,7 +68,7 @@
     CHECK(packed_item.base == 0);
     program::configuration_history receiver;
     CHECK(receiver.unpack(packed_item)->value == sender.newest().value);
-    // Of many changes the oldest bases are forgotten.
+    // After many changes, the oldest bases are no longer stored.
     for (std::uint64_t revision = 11; revision < 20; ++revision) {
         sender.add(many_routes(revision, 5'000));
     }
@@ -76,7 +76,7 @@
     CHECK(sender.pack(18).base == 18);
 }
 
-TEST_CASE("what was packed against a base that isn't here is refused")
+TEST_CASE("a delta against an unknown base is rejected")
 {
     program::configuration_history sender;
     sender.add(many_routes(10, 5'000));
@@ -85,7 +85,7 @@
     CHECK(!receiver.unpack(sender.pack(10)));
 }
 
-TEST_CASE("any text comes out as it was packed, and no bytes end the host")
+TEST_CASE("packing round-trips any text, and no input crashes unpacking")
 {
     CHECK(rc::check([](std::string const& text, std::string const& base) {
         auto const packed = proxy::pack_text(text, base);
--- a/tests/program/engine_orders_test.cpp
+++ b/tests/program/engine_orders_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// One host's orders, before one engine that checks fencing numbers.
+/// Orders of one host to one engine that checks fencing numbers.
 struct ordering_host
 {
     explicit ordering_host(std::vector<std::string> const& names)
@@ -52,8 +52,8 @@
         return settings;
     }
 
-    /// Ten seconds a host must pass before the first load: the store of
-    /// weights is shared.
+    /// Runs until the engine has received the first order. A host waits ten
+    /// seconds before the first load, because the store of weights is shared.
     bool run_until_ordered()
     {
         for (int step = 0; step < 1000; ++step) {
@@ -79,7 +79,7 @@
 
 } // namespace
 
-TEST_CASE("a wish becomes one order that the engine takes")
+TEST_CASE("a request becomes one order that the engine accepts")
 {
     ordering_host host({"host-1"});
     host.orders.request({"engine-1", "reader"}, false);
@@ -90,9 +90,9 @@
     CHECK(host.engine.counters().orders_refused == 0);
 }
 
-// Every host sees the same load and wishes the same. Were each to order by
-// itself, an engine would load models to and fro.
-TEST_CASE("a wish goes to the engine's one orderer")
+// Every host sees the same load and makes the same requests. If each host sent
+// its own orders, an engine would switch between models repeatedly.
+TEST_CASE("a request goes to the one host that owns the engine's orders")
 {
     std::vector<std::string> names;
     for (int number = 1; number <= 7; ++number) {
--- a/tests/program/input_test.cpp
+++ b/tests/program/input_test.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("bad input gets a typed error with a remedy, and loses nothing")
+TEST_CASE("invalid input gets a typed error, and valid requests still succeed")
 {
     tests::site_options options;
     options.max_body_bytes = 10'000;
@@ -101,9 +101,9 @@
     check_error(*other_class, 403);
 }
 
-// An operator publishes a list with a slip. Were it applied, or were the old
-// one dropped, every caller would be refused until it is mended.
-TEST_CASE("a faulty list is never applied; the last good one stays in force")
+// An operator publishes a list with an error. If it is applied, or if the
+// previous one is discarded, every caller is refused until it is corrected.
+TEST_CASE("an invalid list is not applied; the last valid one stays in force")
 {
     tests::site site;
     site.platform->publish("plans", R"({"tiers":"all of them"})");
@@ -124,7 +124,7 @@
     CHECK(json::parse(answer->body)["data"][0]["id"] == "drafter");
 }
 
-TEST_CASE("a request's trail and the host's status can be asked for")
+TEST_CASE("the admin server serves a request's trail and the host's status")
 {
     tests::site site;
     auto const answer = site.chat("hello", 3, true);
--- a/tests/program/leaving_test.cpp
+++ b/tests/program/leaving_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The site's upstreams, with the first engine marked as leaving.
+/// Returns the site's upstreams, with the first engine marked as leaving.
 std::string first_engine_leaves(tests::site const& site)
 {
     auto listed = nlohmann::json::parse(stand_ins::site_upstreams(
@@ -23,10 +23,9 @@
 
 } // namespace
 
-// The platform takes an engine away for an upgrade. What it runs must go on
-// to its end, and nothing new may reach it, or callers would be cut off when
-// it goes.
-TEST_CASE("a leaving engine finishes its work and gets no more")
+// The platform removes an engine for an upgrade. Its running requests must
+// complete and it must get no new ones, or callers are cut off when it stops.
+TEST_CASE("a leaving engine completes its requests and gets no new ones")
 {
     tests::site_options options;
     options.tokens_per_second = 100.0;
--- a/tests/program/relay_test.cpp
+++ b/tests/program/relay_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Placement samples; so many calls leave no engine out.
+// Placement samples the engines. This many calls reach both of them.
 constexpr int calls_for_both_engines = 12;
 
 void crash_once(tests::site& site)
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("a stream reaches its caller whole and in order")
+TEST_CASE("a stream reaches its caller completely and in order")
 {
     tests::site site;
     auto const answer = site.chat("hello", 20, true);
@@ -55,10 +55,10 @@
     CHECK(json::parse(answer->body)["usage"]["completion_tokens"] == 20);
 }
 
-// An engine dies while it answers. Without resuming, the caller would see a
-// schedule that stops in mid-sentence, or get its beginning twice. One engine
-// alone crashes: a request that crashes a second one is refused for good.
-TEST_CASE("a stream goes on at another engine when its own crashes")
+// An engine crashes while it answers. Without a resume, the caller gets a
+// truncated answer or its beginning twice. Only one engine crashes here: a
+// request that crashes a second engine is refused permanently.
+TEST_CASE("a stream is resumed at another engine after a crash")
 {
     tests::site site;
     crash_once(site);
@@ -73,8 +73,8 @@
     CHECK(site.total(&counters::resumed) == 1);
 }
 
-// The same for a caller that waits for one whole answer: it must not notice.
-TEST_CASE("a whole answer is put together over a crash")
+// The same crash must not be visible to a caller without streaming.
+TEST_CASE("a JSON answer is assembled across a crash")
 {
     tests::site site;
     crash_once(site);
@@ -88,9 +88,10 @@
     CHECK(site.total(&counters::crashes) == 1);
 }
 
-// Something between host and engine forgets an open connection; it stays
-// open and nothing comes any more. The caller would wait for ever.
-TEST_CASE("a stream that goes silent is resumed over a new connection")
+// A device between host and engine drops the state of an open connection. The
+// connection stays open but delivers no data, and without a timeout the caller
+// waits indefinitely.
+TEST_CASE("a stalled stream is resumed over a new connection")
 {
     tests::site_options options;
     options.timeouts.progress = 300ms;
@@ -108,9 +109,10 @@
     CHECK(is_complete(answer->body));
 }
 
-// A caller gives up while its request still waits for its first token. The
-// engine would go on computing for nobody, in a slot that others wait for.
-TEST_CASE("hanging up before the answer begins cancels at the engine")
+// A caller disconnects while its request waits for the first token. Without a
+// cancellation, the engine computes an answer that no caller receives, in a
+// slot that other requests wait for.
+TEST_CASE("a disconnect before the answer begins cancels at the engine")
 {
     tests::site_options options;
     options.tokens_per_second = 1.0;
@@ -119,15 +121,15 @@
     REQUIRE(site.run_until([&] {
         return site.total(&counters::begun) == 1;
     }));
-    site.hang_up();
+    site.disconnect();
     CHECK(site.run_until([&] {
         return site.total(&counters::cancelled) == 1;
     }));
     CHECK(site.relay->running() == 0);
 }
 
-// The same in mid-answer: the rest of a long draft must not be computed.
-TEST_CASE("hanging up during the answer cancels at the engine")
+// After a disconnect during the answer, the rest must not be computed.
+TEST_CASE("a disconnect during the answer cancels at the engine")
 {
     tests::site_options options;
     options.tokens_per_second = 50.0;
@@ -136,16 +138,16 @@
     REQUIRE(site.run_until([&] {
         return !answer->body.empty();
     }));
-    site.hang_up();
+    site.disconnect();
     CHECK(site.run_until([&] {
         return site.total(&counters::cancelled) == 1;
     }));
     CHECK(site.relay->running() == 0);
 }
 
-// All engines are gone for good. The caller must be told so, and that its
-// request did not run: no byte of it ever reached an engine.
-TEST_CASE("a request that reached no engine is told not to have run")
+// All engines are gone permanently. The caller must get an error with the
+// outcome `not-run`, because no byte of its request reached an engine.
+TEST_CASE("a request that reached no engine is reported as not run")
 {
     tests::site site;
     site.engines.clear();
@@ -157,9 +159,10 @@
     CHECK_FALSE(body["error"]["remedy"].get<std::string>().empty());
 }
 
-// All engines break off each answer. A short answer must never pass for a
-// whole one: it ends with an error and without the closing event.
-TEST_CASE("an answer that can't be finished is not passed off as whole")
+// All engines stop in the middle of each answer. A truncated answer must be
+// distinguishable from a complete one: it ends with an error and without the
+// closing event.
+TEST_CASE("an incomplete answer is not reported as complete")
 {
     tests::site_options options;
     options.engines = 1;
--- a/tests/program/route_start_test.cpp
+++ b/tests/program/route_start_test.cpp
@@ -19,7 +19,7 @@
 
 constexpr auto wait_limit = 10s;
 
-/// Tries `done` until it holds. False if it never did.
+/// Polls `done` until it returns true. Returns false after `wait_limit`.
 template <typename Condition>
 bool wait_until(Condition const& done)
 {
@@ -35,8 +35,9 @@
 
 } // namespace
 
-// By default SIGHUP ends a process that hasn't set up its handler.
-TEST_CASE("a host that starts survives the signal to read its settings anew")
+// The default action of SIGHUP ends a process that has not installed its
+// handler yet.
+TEST_CASE("a starting host survives the signal to reload its settings")
 {
     std::string const path =
         (std::filesystem::temp_directory_path()
@@ -45,7 +46,7 @@
     REQUIRE(mkfifo(path.c_str(), S_IRUSR | S_IWUSR) == 0);
     stand_ins::child_process host(PROGRAM_FOLDER "/caperjunction",
                                   {"route", "--config=" + path});
-    // It can be opened once the host waits for its first byte.
+    // Opening succeeds once the host has opened the FIFO for reading.
     int settings = -1;
     CHECK(wait_until([&] {
         settings = open(path.c_str(), O_WRONLY | O_NONBLOCK | O_CLOEXEC);
--- a/tests/program/settings_file_test.cpp
+++ b/tests/program/settings_file_test.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-/// A file that is gone after the test.
-struct scratch_file
+/// Temporary file that is removed at the end of the test.
+struct temporary_file
 {
     std::string path =
         (std::filesystem::temp_directory_path()
@@ -27,18 +27,18 @@
             + std::to_string(reinterpret_cast<std::uintptr_t>(this))))
             .string();
 
-    explicit scratch_file(std::string const& text)
+    explicit temporary_file(std::string const& text)
     {
         write(text);
     }
 
-    ~scratch_file()
+    ~temporary_file()
     {
         std::remove(path.c_str());
     }
 
-    scratch_file(scratch_file const&) = delete;
-    scratch_file& operator=(scratch_file const&) = delete;
+    temporary_file(temporary_file const&) = delete;
+    temporary_file& operator=(temporary_file const&) = delete;
 
     void write(std::string const& text) const
     {
@@ -49,7 +49,7 @@
 std::string remedy_of(std::string const& text)
 {
     absl::FlagSaver const saved;
-    scratch_file const file(text);
+    temporary_file const file(text);
     try {
         program::apply_settings_file(file.path);
         program::load_routed_settings();
@@ -66,10 +66,10 @@
 
 } // namespace
 
-TEST_CASE("a settings file sets flags, and skips remarks and empty lines")
+TEST_CASE("a settings file sets flags and skips comments and empty lines")
 {
     absl::FlagSaver const saved;
-    scratch_file const file(
+    temporary_file const file(
         "# about\n\n" + required_settings
         + "--regions={\"a\":\"west\",\"b\":\"east\"}\n"
           "--key_lifetime=4s\n--seeds=10.0.0.2:1,10.0.0.3:2\n"
@@ -84,7 +84,7 @@
     CHECK(read.relay.retry_ratio == doctest::Approx(0.1));
 }
 
-TEST_CASE("bad settings end the start with a remedy")
+TEST_CASE("invalid settings are rejected with a remedy")
 {
     CHECK(remedy_of(required_settings).empty());
     for (char const* const bad : {"--nosuch=1\n",
@@ -104,11 +104,11 @@
                     model::error);
 }
 
-// The platform writes the settings anew and sends no signal. A host that
-// waited for one would keep old bounds until its next start.
-TEST_CASE("a settings file that is written anew is noticed once")
+// The platform may rewrite the settings without a signal. A host that relies on
+// the signal keeps outdated limits until its next restart.
+TEST_CASE("a rewritten settings file is detected once")
 {
-    scratch_file const file("--host_name=a\n");
+    temporary_file const file("--host_name=a\n");
     program::file_watch watch(file.path);
     CHECK(!watch.has_changed());
     file.write("--host_name=longer\n");
--- a/tests/program/site.cpp
+++ b/tests/program/site.cpp
@@ -12,16 +12,16 @@
 namespace caperjunction::tests {
 namespace {
 
-std::string upstreams_text(site const& made)
+std::string upstreams_text(site const& owner)
 {
     std::vector<stand_ins::site_member> engines;
-    for (std::size_t index = 0; index < made.engines.size(); ++index) {
+    for (std::size_t index = 0; index < owner.engines.size(); ++index) {
         engines.push_back({fmt::format("engine-{}", index),
-                           made.engines[index]->address(),
+                           owner.engines[index]->address(),
                            {}});
     }
     return stand_ins::site_upstreams(
-        engines, {{"ledger-1", made.service->address(), {}}});
+        engines, {{"ledger-1", owner.service->address(), {}}});
 }
 
 } // namespace
@@ -74,9 +74,9 @@
     if (!run_until([this] {
             return control->ready();
         })) {
-        throw std::runtime_error("the site's lists were not accepted");
+        throw std::runtime_error("the lists of the site were not accepted");
     }
-    // One more turn, in which the relay gets the lists too.
+    // One more iteration, in which the relay also receives the lists.
     run_for(std::chrono::milliseconds(5));
 }
 
@@ -96,7 +96,7 @@
                                    std::string const& body,
                                    std::vector<net::header> headers)
 {
-    auto made = std::make_shared<answer>();
+    auto result = std::make_shared<answer>();
     net::upstream_call call;
     call.to = {"127.0.0.1", relay->port()};
     call.path = path;
@@ -106,17 +106,17 @@
     call.headers.push_back(
         {"Authorization", std::string("Bearer ") + stand_ins::site_key});
     m_latest = m_client.start(call,
-                              {[made](net::call_head const& head) {
-                                   made->status = head.status;
+                              {[result](net::call_head const& head) {
+                                   result->status = head.status;
                                },
-                               [made](std::string_view bytes) {
-                                   made->body.append(bytes);
+                               [result](std::string_view bytes) {
+                                   result->body.append(bytes);
                                },
-                               [made](net::call_end end) {
-                                   made->ended = true;
-                                   made->end = end;
+                               [result](net::call_end end) {
+                                   result->ended = true;
+                                   result->end = end;
                                }});
-    return made;
+    return result;
 }
 
 std::shared_ptr<answer>
@@ -130,7 +130,7 @@
     return call("/v1/chat/completions", body.dump());
 }
 
-void site::hang_up()
+void site::disconnect()
 {
     m_client.cancel(m_latest);
 }
@@ -142,35 +142,36 @@
     });
 }
 
-std::uint64_t site::total(std::uint64_t stand_ins::engine_counters::*what) const
+std::uint64_t
+site::total(std::uint64_t stand_ins::engine_counters::*counter) const
 {
     std::uint64_t sum = 0;
     for (auto const& engine : engines) {
-        sum += engine->counters().*what;
+        sum += engine->counters().*counter;
     }
     return sum;
 }
 
 std::string site::admin(std::string const& path)
 {
-    auto made = std::make_shared<answer>();
+    auto result = std::make_shared<answer>();
     net::upstream_call call;
     call.to = {"127.0.0.1", control->admin_port()};
     call.path = path;
     call.method = "GET";
     m_client.start(call,
-                   {[made](net::call_head const& head) {
-                        made->status = head.status;
+                   {[result](net::call_head const& head) {
+                        result->status = head.status;
                     },
-                    [made](std::string_view bytes) {
-                        made->body.append(bytes);
+                    [result](std::string_view bytes) {
+                        result->body.append(bytes);
                     },
-                    [made](net::call_end end) {
-                        made->ended = true;
-                        made->end = end;
+                    [result](net::call_end end) {
+                        result->ended = true;
+                        result->end = end;
                     }});
-    wait(made);
-    return made->body;
+    wait(result);
+    return result->body;
 }
 
 std::string tokens_of(std::string const& events)
@@ -197,7 +198,7 @@
 
 std::string expected_tokens(std::string const& tokens, int count)
 {
-    // The stand-in marks its tokens with the prompt: t0-ce70 t1-ce70 ...
+    // The stand-in appends a hash of the prompt: t0-ce70 t1-ce70 ...
     std::size_t const dash = tokens.find('-');
     std::size_t const space = tokens.find(' ');
     if (dash == std::string::npos || space == std::string::npos) {
--- a/tests/program/site.hpp
+++ b/tests/program/site.hpp
@@ -26,7 +26,7 @@
     net::call_end end = net::call_end::broken;
 };
 
-/// How a site differs from the usual one.
+/// Options of a test site.
 struct site_options
 {
     std::size_t engines = 2;
@@ -35,18 +35,18 @@
     std::size_t max_body_bytes = 1'048'576;
 };
 
-/// One router host with its stand-ins, all on one event loop and in one
-/// thread, so that a test decides what runs when.
+/// One router host with its stand-ins on one event loop and in one thread, so
+/// that the test controls the order of execution.
 class site
 {
 public:
     explicit site(site_options options = {});
     ~site();
 
-    /// Runs until `done` holds; false if it didn't within a generous limit.
+    /// Runs until `done` returns true. Returns false after a generous timeout.
     bool run_until(std::function<bool()> const& done);
 
-    /// Runs for about that long, whatever happens.
+    /// Runs for about `time`.
     void run_for(model::milliseconds time);
 
     /// Starts a call to the router.
@@ -54,19 +54,20 @@
                                  std::string const& body,
                                  std::vector<net::header> headers = {});
 
-    /// Starts a chat of `tokens` tokens.
+    /// Starts a chat call with an answer of `tokens` tokens.
     std::shared_ptr<answer>
     chat(std::string const& prompt, int tokens, bool stream);
 
-    /// Hangs up the latest call.
-    void hang_up();
+    /// Disconnects the latest call.
+    void disconnect();
 
     /// Runs until the answer has ended.
     bool wait(std::shared_ptr<answer> const& pending);
 
-    std::uint64_t total(std::uint64_t stand_ins::engine_counters::*what) const;
+    std::uint64_t
+    total(std::uint64_t stand_ins::engine_counters::*counter) const;
 
-    /// GET of the admin address.
+    /// Returns the body of a GET at the admin address.
     std::string admin(std::string const& path);
 
     runtime::event_loop loop;
@@ -82,10 +83,11 @@
     net::call_handle m_latest;
 };
 
-/// The texts of all tokens in a stream's events, in order.
+/// Returns the texts of all tokens in a stream's events, in order.
 std::string tokens_of(std::string const& events);
 
-/// The texts that a stand-in engine gives for a prompt, 0 to `count`.
+/// Returns the first `count` tokens that a stand-in engine generates for the
+/// prompt of `tokens`.
 std::string expected_tokens(std::string const& tokens, int count);
 
 } // namespace caperjunction::tests
--- a/tests/program/store_replica_test.cpp
+++ b/tests/program/store_replica_test.cpp
@@ -31,7 +31,7 @@
             false};
 }
 
-/// A host's beliefs, without its sockets.
+/// A host's replica of the store, without sockets.
 struct replica_host
 {
     runtime::event_loop loop;
@@ -49,7 +49,7 @@
     program::store_replica replica{context, codec};
 };
 
-/// `host` asks `other` for both lanes, as over their links.
+/// Fetches both list kinds from `other`, encoded as on the wire.
 void fetch_changes(replica_host& host, replica_host& other)
 {
     host.replica.merge(*proxy::decode_items(proxy::encode_items(
@@ -60,12 +60,12 @@
 
 } // namespace
 
-// A host reads the store in pages. After the first page a configuration is
-// published, and after that an engine writes its entry, which stands on the
-// second page. Until its next watch the host holds the entry and lacks the
-// configuration. If it gave itself the entry's revision, a peer that asks
-// then would never hear of the configuration: its callers would get 404 for
-// new routes, and removed keys would go on working there.
+// A host reads the store in pages. A configuration is published after the first
+// page, and then an engine writes its entry, which is on the second page. Until
+// its next watch, the host has the entry but lacks the configuration. If it
+// reports the entry's revision as its own, a peer that fetches at this time
+// never gets the configuration: its callers get 404 for new routes, and removed
+// keys stay valid there.
 TEST_CASE("a change between two pages of a read reaches the peers")
 {
     replica_host sender;
@@ -87,10 +87,10 @@
     CHECK(peer.context.directory.find("i-1") != nullptr);
 }
 
-// A host's second page brings an engine that started a moment ago, and a peer
-// that has not heard of that engine gives all that it has. The engine would
-// stand idle until its entry changes.
-TEST_CASE("a peer's whole list drops nothing that is newer than it")
+// The second page of a read contains an engine that has just started. A peer
+// that lacks this engine then sends its complete list. If the merge removes the
+// engine, it gets no requests until its entry changes.
+TEST_CASE("a peer's complete list removes no newer entry")
 {
     replica_host peer;
     peer.replica.apply(configuration(3, 10));
@@ -107,11 +107,11 @@
     CHECK(host.context.directory.find("i-0") != nullptr);
 }
 
-// The store drops its history while an engine leaves. A host reads it whole
-// and finds the engine missing, and a peer asks it for what has changed. If
-// the answer left the engine out, the peer would go on sending requests to it
-// until that host starts anew.
-TEST_CASE("what a whole read finds missing is missing at the peers too")
+// The store discards its history while an engine leaves. A host reads the store
+// completely and finds the engine missing, and a peer requests the changes. If
+// the answer does not remove the engine, the peer sends requests to it until
+// that host restarts.
+TEST_CASE("a removal found by a complete read reaches the peers")
 {
     replica_host host;
     host.replica.apply(configuration(3, 10));
@@ -130,18 +130,19 @@
     CHECK(peer.context.directory.find("i-2") != nullptr);
     CHECK(peer.context.directory.find("i-1") == nullptr);
 
-    // And what it told in turn is whole too.
-    replica_host third;
-    third.replica.apply(configuration(3, 10));
-    third.replica.apply(upstream("i-1", 11));
-    third.replica.commit(11);
-    third.replica.merge(peer.replica.changes(11));
-    CHECK(third.context.directory.find("i-1") == nullptr);
+    // The peer's own answer contains the removal as well.
+    replica_host third_host;
+    third_host.replica.apply(configuration(3, 10));
+    third_host.replica.apply(upstream("i-1", 11));
+    third_host.replica.commit(11);
+    third_host.replica.merge(peer.replica.changes(11));
+    CHECK(third_host.context.directory.find("i-1") == nullptr);
 }
 
-// Over a full link a configuration of 300 KB takes seconds. Behind it in one
-// list, a leave came so late that the upstream still got requests.
-TEST_CASE("a leave reaches a host that lacks a large configuration")
+// A configuration of 300 KB takes seconds on a congested link. A removal that
+// is sent after it in the same list arrives so late that the upstream still
+// gets requests.
+TEST_CASE("a removal reaches a host that lacks a large configuration")
 {
     replica_host sender;
     replica_host host;
@@ -161,7 +162,7 @@
     host.replica.merge(sent);
     CHECK(host.context.directory.find("i-1") == nullptr);
     CHECK(host.replica.config_version() == 3);
-    // And nothing is confirmed that was not told.
+    // Only the received list kind is confirmed.
     CHECK(host.context.known == routing::store_revisions{13, 10, 11});
     CHECK(host.context.known.all() == 11);
 
@@ -170,9 +171,9 @@
     CHECK(host.context.known == sender.context.known);
 }
 
-// A host whose configuration lags asks the store from there. Applied again, an
-// old entry would bring back an upstream that is gone.
-TEST_CASE("what the store tells late brings back no upstream")
+// A host whose configuration lags behind polls the store from that revision. If
+// an old entry is applied again, it restores an upstream that was removed.
+TEST_CASE("an outdated store entry does not restore a removed upstream")
 {
     replica_host host;
     host.replica.apply(configuration(3, 10));
@@ -189,10 +190,10 @@
     CHECK(host.replica.config_version() == 4);
 }
 
-// A page of a whole read was on its way when a peer told of an entry that came
-// after it: the read drops the entry, and the watch that follows brings it
-// back. Left out for its age, the upstream would get no request.
-TEST_CASE("an entry that a late page dropped comes back with the watch")
+// A peer sends an entry that is newer than a page of a complete read in flight.
+// The read removes the entry, and the following watch delivers it again. If it
+// is ignored as outdated, the upstream gets no requests.
+TEST_CASE("an entry removed by a late page is restored by the watch")
 {
     replica_host peer;
     peer.replica.apply(upstream("i-1", 18));
@@ -206,8 +207,8 @@
     CHECK(host.replica.changes(0).items.size() == 1);
 }
 
-// While hosts are replaced one by one, some know no lanes.
-TEST_CASE("a host of an earlier version gets both lanes in one list")
+// During a rolling upgrade, some hosts do not support separate list kinds.
+TEST_CASE("a host of an earlier version gets both list kinds in one list")
 {
     replica_host host;
     host.replica.apply(configuration(3, 10));
