--- a/src/program/bookings.cpp
+++ b/src/program/bookings.cpp
@@ -135,7 +135,7 @@
         if (call.fetch_until != model::time_point{} && call.fetch_until < now) {
             refuse_unknown(id.value,
                            fetch_retry_after,
-                           "the host of the first run does not respond");
+                           "the first run's host doesn't answer");
         }
     }
 }
@@ -206,7 +206,7 @@
         refuse(not_run->ticket,
                {model::error_kind::unavailable,
                 not_run->reason,
-                "resend it with the same Idempotency-Key",
+                "send it again with the same Idempotency-Key",
                 not_run->retry_after},
                model::outcome::not_run);
     } else if (auto const* unknown =
@@ -220,7 +220,7 @@
         refuse(mismatch->ticket,
                {model::error_kind::bad_request,
                 "this Idempotency-Key was used for another request",
-                "use a new key for each new request",
+                "choose a new key for a new request",
                 model::milliseconds{0}},
                model::outcome::not_run);
     }
--- a/src/program/bookings_answer.cpp
+++ b/src/program/bookings_answer.cpp
@@ -39,7 +39,7 @@
     if (!reply.found) {
         refuse_unknown(reply.ticket,
                        fetch_retry_after,
-                       "the answer of the first run is not stored");
+                       "the first run's answer is not kept");
         return;
     }
     auto const found = m_pending.find({reply.ticket});
@@ -85,8 +85,8 @@
     refuse(ticket,
            {model::error_kind::unavailable,
             reason,
-            "resend it with the same Idempotency-Key, which is safe, or ask "
-            "the service whether it was booked",
+            "send it again with the same Idempotency-Key, which is safe, or "
+            "ask the service whether it was booked",
             retry_after},
            model::outcome::unknown);
 }
--- a/src/program/report.cpp
+++ b/src/program/report.cpp
@@ -59,10 +59,10 @@
         return json_answer(
             404,
             {{"error",
-              {{"message", "this host has no trail of this request"},
+              {{"message", "this host knows no such request"},
                {"remedy",
-                "query the host that the caller reached; the trails of the "
-                "oldest requests are removed first"}}}});
+                "ask the host that the caller reached; the oldest requests "
+                "are forgotten first"}}}});
     }
     json list = json::array();
     for (trail_step const& step : steps) {
