--- a/bench/claims_explorer/availability.cpp
+++ b/bench/claims_explorer/availability.cpp
@@ -20,21 +20,21 @@
 {
     std::string name;
     std::uint32_t witnesses;
-    bool hands_over;
+    bool hand_over_enabled;
 };
 
-/// A running fleet and the chance that drives its faults.
-struct run
+/// A fleet and the random source of its faults.
+struct fleet_run
 {
-    run(design const& what, std::uint64_t seed)
+    fleet_run(design const& what, std::uint64_t seed)
         : fleet(settings_of(what), seed)
         , random(seed)
     {
-        fleet.hands_over = what.hands_over;
+        fleet.hand_over_enabled = what.hand_over_enabled;
         for (std::size_t index = 0; index < host_count; ++index) {
             fleet.start(host(index), true);
         }
-        fleet.pass();
+        fleet.advance();
     }
 
     static fleet::claim_settings settings_of(design const& what)
@@ -45,8 +45,8 @@
         return settings;
     }
 
-    // Three, two and two hosts in data centres 0, 1 and 2; 2 is the other
-    // region.
+    // Data centres 0, 1 and 2 have three, two and two hosts; data centre 2 is
+    // in the other region.
     static model::host host(std::size_t index)
     {
         model::host result;
@@ -57,10 +57,10 @@
         return result;
     }
 
-    void pass(model::milliseconds by)
+    void advance(model::milliseconds by)
     {
         for (auto left = by; left > by.zero(); left -= booking_fleet::period) {
-            fleet.pass();
+            fleet.advance();
         }
     }
 
@@ -78,8 +78,8 @@
     std::mt19937_64 random;
 };
 
-// Each host fails 0.25 and is replaced 2.25 times a day.
-void ordinary_days(run& one)
+// Each host crashes 0.25 times and is replaced 2.25 times per day.
+void ordinary_days(fleet_run& one)
 {
     constexpr double s_crashes = 0.25 * host_count;
     constexpr double s_replacements = 2.25 * host_count;
@@ -89,25 +89,25 @@
     for (auto left = model::milliseconds(hours(24 * s_days));
          left > left.zero();
          left -= booking_fleet::period) {
-        one.fleet.pass();
+        one.fleet.advance();
         bool const crashes = one.happens(s_crashes);
         if (!crashes && !one.happens(s_replacements)) {
             continue;
         }
         std::size_t& place = up[one.random() % up.size()];
-        auto const name = run::host(place).name;
+        auto const name = fleet_run::host(place).name;
         if (crashes) {
             one.fleet.crash(name);
-            one.pass(list_lag);
+            one.advance(list_lag);
             one.fleet.unlist(name);
-            one.pass(minutes(1));
-            one.fleet.start(run::host(place), false);
+            one.advance(minutes(1));
+            one.fleet.start(fleet_run::host(place), false);
         } else {
             auto const fresh = place % host_count + host_count * next++;
-            one.fleet.start(run::host(fresh), false);
-            one.pass(minutes(1));
+            one.fleet.start(fleet_run::host(fresh), false);
+            one.advance(minutes(1));
             one.fleet.plan_stop(name);
-            one.pass(minutes(1));
+            one.advance(minutes(1));
             one.fleet.unlist(name);
             one.fleet.crash(name);
             place = fresh;
@@ -115,83 +115,83 @@
     }
 }
 
-void crash_some(run& one, std::size_t first, std::size_t end)
+void crash_some(fleet_run& one, std::size_t first, std::size_t end)
 {
     for (std::size_t index = first; index < end; ++index) {
-        one.fleet.crash(run::host(index).name);
+        one.fleet.crash(fleet_run::host(index).name);
     }
-    one.pass(list_lag);
+    one.advance(list_lag);
     for (std::size_t index = first; index < end; ++index) {
-        one.fleet.unlist(run::host(index).name);
+        one.fleet.unlist(fleet_run::host(index).name);
     }
 }
 
-void lost_data_centre(run& one)
+void lost_data_centre(fleet_run& one)
 {
     crash_some(one, 0, 3);
-    one.pass(hours(3));
+    one.advance(hours(3));
 }
 
-void three_crashes_and_restarts(run& one)
+void three_crashes_and_restarts(fleet_run& one)
 {
     for (std::size_t index : {0U, 3U, 5U}) {
         crash_some(one, index, index + 1);
-        one.pass(minutes(1));
-        one.fleet.start(run::host(index), false);
-        one.pass(minutes(20));
+        one.advance(minutes(1));
+        one.fleet.start(fleet_run::host(index), false);
+        one.advance(minutes(20));
     }
-    one.pass(hours(2));
+    one.advance(hours(2));
 }
 
-void cut_regions(run& one)
+void cut_regions(fleet_run& one)
 {
     auto const far = [](std::string const& name) {
         return name == "host-5" || name == "host-6";
     };
-    one.fleet.reaches = [far](auto const& from, auto const& to) {
+    one.fleet.can_reach = [far](auto const& from, auto const& to) {
         return far(from) == far(to);
     };
-    one.pass(hours(1));
-    one.fleet.reaches = [](auto const&, auto const&) {
+    one.advance(hours(1));
+    one.fleet.can_reach = [](auto const&, auto const&) {
         return true;
     };
-    one.pass(hours(2));
+    one.advance(hours(2));
 }
 
-void service_down(run& one)
+void service_down(fleet_run& one)
 {
     one.fleet.service_up = false;
-    one.pass(hours(1));
+    one.advance(hours(1));
     one.fleet.service_up = true;
-    one.pass(hours(2));
+    one.advance(hours(2));
 }
 
-void rolling_replacement(run& one)
+void rolling_replacement(fleet_run& one)
 {
     for (std::size_t index = 0; index < host_count; ++index) {
-        one.fleet.start(run::host(index + host_count), false);
-        one.pass(minutes(1));
-        one.fleet.plan_stop(run::host(index).name);
-        one.pass(minutes(1));
-        one.fleet.unlist(run::host(index).name);
-        one.fleet.crash(run::host(index).name);
+        one.fleet.start(fleet_run::host(index + host_count), false);
+        one.advance(minutes(1));
+        one.fleet.plan_stop(fleet_run::host(index).name);
+        one.advance(minutes(1));
+        one.fleet.unlist(fleet_run::host(index).name);
+        one.fleet.crash(fleet_run::host(index).name);
     }
-    one.pass(hours(3) - minutes(2) * host_count);
+    one.advance(hours(3) - minutes(2) * host_count);
 }
 
-void all_crash(run& one)
+void all_crash(fleet_run& one)
 {
     crash_some(one, 0, host_count);
     for (std::size_t index = 0; index < host_count; ++index) {
-        one.fleet.start(run::host(index), false);
+        one.fleet.start(fleet_run::host(index), false);
     }
-    one.pass(hours(3));
+    one.advance(hours(3));
 }
 
 struct history
 {
     std::string name;
-    std::function<void(run&)> play;
+    std::function<void(fleet_run&)> execute;
 };
 
 } // namespace
@@ -216,8 +216,8 @@
             if (what.name.compare(0, only.size(), only) != 0) {
                 continue;
             }
-            run one(how, seed);
-            what.play(one);
+            fleet_run one(how, seed);
+            what.execute(one);
             results.push_back({what.name, how.name, one.fleet.count()});
         }
     }
--- a/bench/claims_explorer/availability.hpp
+++ b/bench/claims_explorer/availability.hpp
@@ -10,7 +10,7 @@
 
 namespace caperjunction::claims_explorer {
 
-/// Bookings of one design in one history of faults.
+/// Booking counts of one design in one history of faults.
 struct availability_result
 {
     std::string history;
@@ -18,13 +18,13 @@
     booking_count count;
 };
 
-/// Puts bookings of seven hosts in three data centres through each history,
-/// once by votes and once by a single owner per key.
-/// Only histories whose name starts with `only`.
+/// Runs bookings on seven hosts in three data centres through each history: by
+/// votes, and by a single owner per key with and without hand-over. Includes
+/// only histories whose names start with `only`.
 std::vector<availability_result>
 measure_availability(std::uint64_t seed, std::string_view only = {});
 
-/// One line a history and design, or JSON.
+/// Returns one line per history and design, or JSON.
 std::string report_availability(std::vector<availability_result> const& results,
                                 bool as_json);
 
--- a/bench/claims_explorer/booking_fleet.cpp
+++ b/bench/claims_explorer/booking_fleet.cpp
@@ -6,7 +6,7 @@
 
 booking_fleet::booking_fleet(fleet::claim_settings const& settings,
                              std::uint64_t seed)
-    : reaches([](auto const&, auto const&) {
+    : can_reach([](auto const&, auto const&) {
         return true;
     })
     , m_settings(settings)
@@ -38,8 +38,8 @@
 
 void booking_fleet::plan_stop(std::string const& name)
 {
-    tell(name, fleet::witness_event(fleet::claim_stop_planned{}));
-    settle();
+    handle_event(name, fleet::witness_event(fleet::claim_stop_planned{}));
+    deliver_messages();
 }
 
 void booking_fleet::unlist(std::string const& name)
@@ -60,24 +60,24 @@
     fleet::claim_view_listed const listed{m_view};
     fleet::claim_view_confirmed const confirmed{m_now};
     for (auto const& name : running()) {
-        tell(name, fleet::witness_event(listed));
-        tell(name, fleet::claimant_event(listed));
-        tell(name, fleet::witness_event(confirmed));
-        tell(name, fleet::claimant_event(confirmed));
+        handle_event(name, fleet::witness_event(listed));
+        handle_event(name, fleet::claimant_event(listed));
+        handle_event(name, fleet::witness_event(confirmed));
+        handle_event(name, fleet::claimant_event(confirmed));
     }
 }
 
-void booking_fleet::pass()
+void booking_fleet::advance()
 {
     m_now += period;
     if (service_up) {
         publish();
     }
     for (auto const& name : running()) {
-        tell(name, fleet::witness_event(fleet::claim_tick{}));
-        tell(name, fleet::claimant_event(fleet::claim_tick{}));
+        handle_event(name, fleet::witness_event(fleet::claim_tick{}));
+        handle_event(name, fleet::claimant_event(fleet::claim_tick{}));
     }
-    settle();
+    deliver_messages();
     book();
 }
 
@@ -101,61 +101,63 @@
     auto const& entry = names[m_random() % names.size()];
     auto const key =
         fleet::make_claim_key("customer", std::to_string(++m_keys));
-    bool const at_once =
-        tell(entry, fleet::claimant_event(fleet::claim_started{key, 1, 1}));
-    bool const granted = settle() || at_once;
+    bool const at_once = handle_event(
+        entry, fleet::claimant_event(fleet::claim_started{key, 1, 1}));
+    bool const granted = deliver_messages() || at_once;
     if (granted && m_processes.at(entry).claimant.begin_dispatch(key, m_now)) {
         ++m_count.ran;
         fleet::claim_ended const ended{key, model::outcome::ran};
-        tell(entry, fleet::claimant_event(ended));
-        settle();
+        handle_event(entry, fleet::claimant_event(ended));
+        deliver_messages();
     }
 }
 
-void booking_fleet::tell(std::string const& host,
-                         fleet::witness_event const& event)
+void booking_fleet::handle_event(std::string const& host,
+                                 fleet::witness_event const& event)
 {
     std::vector<fleet::claim_send> out;
     m_processes.at(host).witness.handle(event, m_now, out);
     for (auto const& one : out) {
-        m_letters.push_back({host, one});
+        m_messages.push_back({host, one});
     }
 }
 
-// True if a call may proceed.
-bool booking_fleet::tell(std::string const& host,
-                         fleet::claimant_event const& event)
+// Returns whether a call may proceed.
+bool booking_fleet::handle_event(std::string const& host,
+                                 fleet::claimant_event const& event)
 {
-    bool proceeds = false;
+    bool may_proceed = false;
     std::vector<fleet::claim_decision> out;
     m_processes.at(host).claimant.handle(event, m_now, out);
     for (auto const& one : out) {
         if (auto const* send = std::get_if<fleet::claim_send>(&one)) {
-            m_letters.push_back({host, *send});
+            m_messages.push_back({host, *send});
         }
-        proceeds =
-            proceeds || std::holds_alternative<fleet::claim_proceed>(one);
+        may_proceed =
+            may_proceed || std::holds_alternative<fleet::claim_proceed>(one);
     }
-    return proceeds;
+    return may_proceed;
 }
 
-bool booking_fleet::settle()
+bool booking_fleet::deliver_messages()
 {
-    bool proceeds = false;
-    while (!m_letters.empty()) {
-        letter const one = std::move(m_letters.front());
-        m_letters.pop_front();
+    bool may_proceed = false;
+    while (!m_messages.empty()) {
+        queued_message const one = std::move(m_messages.front());
+        m_messages.pop_front();
         bool const offer =
             std::holds_alternative<fleet::claim_offer>(one.send.message);
         bool const up = m_processes.count(one.send.to) > 0;
-        if (!up || !reaches(one.from, one.send.to) || (offer && !hands_over)) {
+        if (!up || !can_reach(one.from, one.send.to)
+            || (offer && !hand_over_enabled)) {
             continue;
         }
         fleet::claim_received const event{one.from, one.send.message};
-        tell(one.send.to, fleet::witness_event(event));
-        proceeds = tell(one.send.to, fleet::claimant_event(event)) || proceeds;
+        handle_event(one.send.to, fleet::witness_event(event));
+        may_proceed = handle_event(one.send.to, fleet::claimant_event(event))
+                      || may_proceed;
     }
-    return proceeds;
+    return may_proceed;
 }
 
 } // namespace caperjunction::claims_explorer
--- a/bench/claims_explorer/booking_fleet.hpp
+++ b/bench/claims_explorer/booking_fleet.hpp
@@ -20,15 +20,15 @@
 
 namespace caperjunction::claims_explorer {
 
-/// How bookings fared in one history.
+/// Number of bookings requested and run in one history.
 struct booking_count
 {
     std::size_t asked = 0;
     std::size_t ran = 0;
 };
 
-/// Hosts with the real state machines that take a booking under a new key
-/// every `period` of virtual time, each at a random host that runs.
+/// Hosts with the production state machines. In every `period` of virtual time
+/// a random running host receives one booking with a new key.
 ///
 /// Thread safety: none.
 class booking_fleet
@@ -38,17 +38,18 @@
 
     booking_fleet(fleet::claim_settings const& settings, std::uint64_t seed);
 
-    /// Starts a process and lists it; only the fleet's first ones may vote
-    /// at once.
+    /// Starts a process and adds it to the list. Only processes of the first
+    /// fleet may vote immediately.
     void start(model::host const& host, bool first_fleet);
-    /// Ends a process without notice; the list names it on.
+    /// Ends a process without notice; it stays on the list.
     void crash(std::string const& name);
-    /// Tells a process that it is to stop; the list names it on.
+    /// Announces a planned stop to a process; it stays on the list.
     void plan_stop(std::string const& name);
-    /// Takes a host off the list.
+    /// Removes a host from the list.
     void unlist(std::string const& name);
-    /// One period: hosts hear of the list, then a booking is asked for.
-    void pass();
+    /// Advances by one period: hosts receive the list, then one booking is
+    /// requested.
+    void advance();
 
     booking_count const& count() const
     {
@@ -57,12 +58,13 @@
 
     std::vector<std::string> running() const;
 
-    /// Whether the service that has the list answers.
+    /// Whether the service that publishes the list is available.
     bool service_up = true;
-    /// Whether a message gets through.
-    std::function<bool(std::string const&, std::string const&)> reaches;
-    /// Off: a host that leaves or loses a place gives no votes away.
-    bool hands_over = true;
+    /// Returns whether a message from the first host reaches the second.
+    std::function<bool(std::string const&, std::string const&)> can_reach;
+    /// If false, a host that leaves or loses its place in a witness set does
+    /// not transfer its votes.
+    bool hand_over_enabled = true;
 
 private:
     struct process
@@ -71,15 +73,17 @@
         fleet::claimant claimant;
     };
 
-    struct letter
+    struct queued_message
     {
         std::string from;
         fleet::claim_send send;
     };
 
-    void tell(std::string const& host, fleet::witness_event const& event);
-    bool tell(std::string const& host, fleet::claimant_event const& event);
-    bool settle();
+    void handle_event(std::string const& host,
+                      fleet::witness_event const& event);
+    bool handle_event(std::string const& host,
+                      fleet::claimant_event const& event);
+    bool deliver_messages();
     void publish();
     void book();
 
@@ -91,7 +95,7 @@
     std::uint64_t m_revision = 0;
     bool m_changed = false;
     std::shared_ptr<fleet::claim_view const> m_view;
-    std::deque<letter> m_letters;
+    std::deque<queued_message> m_messages;
     std::uint64_t m_generations = 0;
     std::uint64_t m_keys = 0;
     booking_count m_count;
--- a/bench/claims_explorer/envelope_hash.cpp
+++ b/bench/claims_explorer/envelope_hash.cpp
@@ -78,7 +78,7 @@
     append(out, what.number);
 }
 
-// Answers aren't part of the search.
+// Stored answers are not part of the search.
 void add(std::string& /*out*/, fleet::answer_query const& /*what*/)
 {
 }
@@ -89,17 +89,17 @@
 
 } // namespace
 
-std::uint64_t hash_of(envelope const& letter)
+std::uint64_t hash_of(envelope const& packet)
 {
     std::string bytes;
-    append(bytes, letter.from);
-    append(bytes, letter.to);
-    append(bytes, letter.message.index());
+    append(bytes, packet.from);
+    append(bytes, packet.to);
+    append(bytes, packet.message.index());
     std::visit(
         [&](auto const& what) {
             add(bytes, what);
         },
-        letter.message);
+        packet.message);
     return XXH3_64bits(bytes.data(), bytes.size()) & ~std::uint64_t{1};
 }
 
--- a/bench/claims_explorer/envelope_hash.hpp
+++ b/bench/claims_explorer/envelope_hash.hpp
@@ -7,8 +7,9 @@
 
 namespace caperjunction::claims_explorer {
 
-/// 64 bits of hash over a message and its two ends; always even.
-std::uint64_t hash_of(envelope const& letter);
+/// Returns a 64-bit hash of a message, its sender and its recipient. It is
+/// always even: `world::hash` marks a delayed message with the lowest bit.
+std::uint64_t hash_of(envelope const& packet);
 
 } // namespace caperjunction::claims_explorer
 
--- a/bench/claims_explorer/fault_budget.hpp
+++ b/bench/claims_explorer/fault_budget.hpp
@@ -7,45 +7,47 @@
 
 namespace caperjunction::claims_explorer {
 
-/// How many faults of each kind one history may have. They make the search
-/// finite: every step but a fault brings a history nearer to its end.
+/// Maximum number of faults of each kind in one history. The limits keep the
+/// search finite: every step other than a fault brings a history closer to its
+/// end.
 struct fault_budget
 {
-    /// Messages that are lost.
+    /// Lost messages.
     std::uint8_t drops = 0;
-    /// Messages held back for as long as the search likes, beyond requests,
-    /// which are delivered in any order and at any time anyway.
+    /// Messages other than requests that are delayed without a bound. Requests
+    /// are always delivered in any order and at any time.
     std::uint8_t holds = 0;
-    /// Messages delivered twice, the second time at any time.
+    /// Messages delivered twice; the second delivery may happen at any time.
     std::uint8_t duplicates = 0;
     std::uint8_t crashes = 0;
     std::uint8_t restarts = 0;
-    /// Leaps of the clock past a lease, a horizon or a pause.
+    /// Clock jumps past a lease, a horizon or a pause.
     std::uint8_t leaps = 0;
-    /// Hosts that sleep through a leap.
+    /// Hosts that are paused during a clock jump.
     std::uint8_t pauses = 0;
-    /// New lists of hosts, adopted by each host at any time or never.
+    /// New host lists; each host adopts one at any time or never.
     std::uint8_t lists = 0;
-    /// Planned stops.
+    /// Planned host stops.
     std::uint8_t leaves = 0;
-    /// Times that the caller sends the call again, to either entry host.
+    /// Repeated sends of the call by the caller, to either entry host.
     std::uint8_t resends = 1;
 };
 
-/// A budget with a name, as the report lists it.
+/// A named fault budget, as listed in the report.
 struct fault_profile
 {
     std::string name;
     fault_budget budget;
-    /// Of the states that a search may see.
+    /// Fraction of the state limit that this profile may use.
     double share = 1.0;
 };
 
-/// Small profiles, most of them followed to the last history, and for the
-/// full run larger ones, of which each seed sees another part.
+/// Returns small profiles, most of which are searched exhaustively. A full run
+/// adds larger profiles, of which each seed explores a different part.
 std::vector<fault_profile> fault_profiles(bool full);
 
-/// Of the search over an engine's orders; its resends are wishes.
+/// Returns the budget of the search over engine orders. Its `resends` count
+/// order requests.
 fault_budget order_budget(bool full);
 
 } // namespace caperjunction::claims_explorer
--- a/bench/claims_explorer/main.cpp
+++ b/bench/claims_explorer/main.cpp
@@ -16,28 +16,32 @@
 ABSL_FLAG(std::uint32_t,
           hosts,
           7,
-          "hosts, two of them entry hosts; 5 witnesses and 2 more that take "
-          "places in later lists");
-ABSL_FLAG(std::uint32_t, depth, 120, "steps of one history");
-ABSL_FLAG(std::uint64_t, seed, 1, "order in which histories are followed");
+          "number of hosts, of which two are entry hosts; 5 are witnesses "
+          "initially, 2 more join in later lists");
+ABSL_FLAG(std::uint32_t, depth, 120, "maximum number of steps in one history");
+ABSL_FLAG(std::uint64_t,
+          seed,
+          1,
+          "seed of the order in which histories are explored");
 ABSL_FLAG(std::int32_t, quorum_delta, 0, "added to the quorum of the design");
 ABSL_FLAG(std::uint64_t,
           max_states,
           12'000'000,
-          "states of one profile; larger profiles and orders get a part");
-ABSL_FLAG(std::uint32_t, threads, 0, "0: one per processor");
-ABSL_FLAG(bool, full, true, "all profiles; false: the few of a short run");
-ABSL_FLAG(std::string, profile, "", "only this one");
+          "maximum number of states per profile; larger profiles and orders "
+          "use a fraction");
+ABSL_FLAG(std::uint32_t, threads, 0, "number of threads; 0: one per processor");
+ABSL_FLAG(bool, full, true, "run all profiles; false: only the small profiles");
+ABSL_FLAG(std::string, profile, "", "run only this profile");
 ABSL_FLAG(bool,
           availability,
           false,
-          "instead: how many bookings run in histories of faults, by votes "
-          "and by a single owner per key");
-ABSL_FLAG(bool, stop_at_first, false, "end at the first violation");
+          "measure instead how many bookings run in histories of faults, by "
+          "votes and by a single owner per key");
+ABSL_FLAG(bool, stop_at_first, false, "stop at the first violation");
 ABSL_FLAG(std::string,
           off,
           "none",
-          "mechanism to switch off: new_hosts_vote, no_grant_lease, "
+          "mechanism to disable: none, new_hosts_vote, no_grant_lease, "
           "no_view_lease, no_quiet_time");
 
 namespace {
@@ -73,7 +77,7 @@
     return limits;
 }
 
-// Both kinds of engine, with all faults that touch orders.
+// Searches engines that check fencing numbers and engines that do not.
 void add_orders(std::vector<profile_result>& results)
 {
     bool const full = absl::GetFlag(FLAGS_full);
@@ -97,14 +101,15 @@
 int main(int argc, char** argv)
 {
     absl::SetProgramUsageMessage(
-        "Follows all histories of a non-repeatable call that a number of "
-        "faults allows.");
+        "Explores all histories of a non-repeatable call within a fault "
+        "budget.");
     absl::ParseCommandLine(argc, argv);
-    constexpr std::uint32_t s_least_hosts = 5;
+    constexpr std::uint32_t s_min_hosts = 5;
     auto const hosts = absl::GetFlag(FLAGS_hosts);
     auto const format = absl::GetFlag(FLAGS_format);
-    if (hosts < s_least_hosts || (format != "json" && format != "table")) {
-        std::cerr << "remedy: --hosts=5 or more, --format=json or table\n";
+    if (hosts < s_min_hosts || (format != "json" && format != "table")) {
+        std::cerr << "invalid flags: --hosts must be 5 or more, --format json "
+                     "or table\n";
         return 2;
     }
     if (absl::GetFlag(FLAGS_availability)) {
--- a/bench/claims_explorer/node.cpp
+++ b/bench/claims_explorer/node.cpp
@@ -37,15 +37,16 @@
 {
     std::string bytes;
     fleet::append(bytes, alive ? generation : 0);
-    // A restart goes on with what its callers have sent.
+    // A restarted host keeps the number of calls that its callers have sent.
     fleet::append(bytes, starts);
     if (alive) {
         witness.fingerprint(now, bytes);
         claimant.fingerprint(now, bytes);
         fleet::append(bytes, list);
         fleet::append(bytes,
-                      (leaving ? 1U : 0U) + (slept ? 2U : 0U) + (woke ? 4U : 0U)
-                          + (told_not_run ? 8U : 0U));
+                      (leaving ? 1U : 0U) + (was_paused ? 2U : 0U)
+                          + (ticked_after_pause ? 4U : 0U)
+                          + (reported_not_run ? 8U : 0U));
         fleet::append(bytes, static_cast<std::uint64_t>(stage));
     }
     return XXH3_64bits(bytes.data(), bytes.size());
--- a/bench/claims_explorer/node.hpp
+++ b/bench/claims_explorer/node.hpp
@@ -11,18 +11,19 @@
 
 namespace caperjunction::claims_explorer {
 
-/// Where the entry host's caller stands.
+/// Progress of the call at an entry host.
 enum class call_stage : std::uint8_t
 {
     idle,
-    /// Started; no answer yet.
+    /// Claim started, no decision yet.
     waiting,
-    /// Told to proceed, not dispatched.
+    /// Allowed to proceed, not dispatched yet.
     queued,
     dispatched,
 };
 
-/// One host: its real witness and claimant, and what its wiring knows.
+/// One host: the production witness and claimant, and the state that the host
+/// process keeps around them.
 struct node
 {
     node(scenario const& fixed,
@@ -35,19 +36,20 @@
     fleet::claimant claimant;
     bool alive = true;
     bool leaving = false;
-    /// Index of the list that it goes by.
+    /// Index of the host list in use.
     std::size_t list = 0;
-    /// It slept through a leap and hasn't confirmed its list since.
-    bool slept = false;
-    /// It woke up (ticked) since it slept.
-    bool woke = false;
+    /// The host was paused during a clock jump and has not confirmed its list
+    /// since.
+    bool was_paused = false;
+    /// The host has ticked since that pause.
+    bool ticked_after_pause = false;
     call_stage stage = call_stage::idle;
     std::uint64_t ticket = 0;
     std::uint8_t starts = 0;
-    /// The caller of `ticket` was told "not run".
-    bool told_not_run = false;
+    /// The caller of `ticket` received "not run".
+    bool reported_not_run = false;
 
-    /// 64 bits of hash over all of it.
+    /// Returns a 64-bit hash of the complete node state.
     std::uint64_t hash(model::time_point now) const;
 };
 
--- a/bench/claims_explorer/order_scenario.hpp
+++ b/bench/claims_explorer/order_scenario.hpp
@@ -10,17 +10,18 @@
 
 namespace caperjunction::claims_explorer {
 
-/// What stays the same in all histories of an engine's orders.
+/// Parameters that are the same in all histories of engine orders.
 struct order_scenario
 {
-    /// Whether the engine refuses old fencing numbers.
+    /// Whether the engine rejects outdated fencing numbers.
     bool checks_fencing = false;
-    /// Names, processes and store's rate aside, those of every host.
+    /// Settings of every host, except for its name and generation. Callers set
+    /// `loads_per_minute` so high that it does not limit the search.
     fleet::order_settings settings;
-    /// Past the lease, past the quiet time.
+    /// Clock jumps: past the lease, past the takeover delay.
     std::array<model::milliseconds, 2> leaps{std::chrono::seconds(12),
                                              std::chrono::seconds(40)};
-    /// Between two ticks of a host that doesn't sleep.
+    /// Interval between two ticks of a host that is not paused.
     model::milliseconds tick{1'500};
 };
 
--- a/bench/claims_explorer/order_world.hpp
+++ b/bench/claims_explorer/order_world.hpp
@@ -16,8 +16,9 @@
 
 namespace caperjunction::claims_explorer {
 
-/// Two hosts that take turns in ordering one engine, by lists that reach them
-/// late, and orders that take their time. A budget's resends are wishes.
+/// State of two hosts that alternate as the orderer of one engine. Host lists
+/// reach them late, and orders are in flight for some time. The `resends` of
+/// the budget count order requests.
 ///
 /// Thread safety: none; copies are independent.
 class order_world
@@ -28,21 +29,22 @@
 
     std::vector<step> steps() const;
 
-    /// \pre what is one of `steps()`.
+    /// \pre what is an element of `steps()`.
     void apply(step const& what);
 
     std::uint64_t hash() const;
 
-    violations const& found() const
+    violations const& found_violations() const
     {
-        return m_found;
+        return m_violations;
     }
 
-    /// Whether no order is on its way.
-    bool quiet() const;
+    /// Returns whether no order is in flight.
+    bool is_quiescent() const;
 
-    /// Whether, once all faults are over, a wish leads to no order.
-    bool stuck() const;
+    /// Returns whether an order request has no effect after all faults have
+    /// ended. Works on a copy.
+    bool is_stuck() const;
 
 private:
     static constexpr std::size_t host_count = 2;
@@ -53,35 +55,35 @@
         fleet::orderer orderer;
         std::size_t list = 0;
         bool alive = true;
-        bool slept = false;
-        /// Decided, but its first byte hasn't left.
+        bool was_paused = false;
+        /// Order that is decided, but whose first byte is not sent yet.
         std::optional<fleet::order> waiting;
     };
 
-    struct flight
+    struct order_in_flight
     {
         fleet::order order;
         model::time_point left{};
     };
 
     host make_host(std::size_t index, std::size_t list);
-    void tell(std::size_t index, fleet::order_event const& event);
+    void handle_event(std::size_t index, fleet::order_event const& event);
     void adopt(std::size_t index, std::size_t list);
     void confirm(std::size_t index);
-    void depart(std::size_t index);
-    void arrive(std::size_t index);
-    void leap(model::milliseconds by, std::size_t sleeper);
+    void send_order(std::size_t index);
+    void deliver_order(std::size_t index);
+    void leap(model::milliseconds by, std::size_t paused_host);
 
-    order_scenario const* m_fixed;
+    order_scenario const* m_scenario;
     fault_budget m_budget;
     model::time_point m_now;
     std::uint64_t m_generations = 0;
     std::vector<host> m_hosts;
     std::vector<model::time_point> m_published;
-    std::vector<flight> m_flights;
+    std::vector<order_in_flight> m_in_flight;
     fleet::fencing_number m_highest;
     std::uint64_t m_taken = 0;
-    violations m_found;
+    violations m_violations;
 };
 
 } // namespace caperjunction::claims_explorer
--- a/bench/claims_explorer/report.hpp
+++ b/bench/claims_explorer/report.hpp
@@ -8,17 +8,19 @@
 
 namespace caperjunction::claims_explorer {
 
-/// What the search of one profile saw.
+/// Search result of one profile.
 struct profile_result
 {
     std::string name;
     search_result result;
 };
 
-/// One object: sums, then the profiles, then the first bad history.
+/// Returns one JSON object: totals, profiles and the history of the first
+/// violation.
 std::string report_json(std::vector<profile_result> const& results);
 
-/// One line a profile, then the first bad history.
+/// Returns a table with one line per profile, and the history of the first
+/// violation.
 std::string report_table(std::vector<profile_result> const& results);
 
 } // namespace caperjunction::claims_explorer
--- a/bench/claims_explorer/scenario.cpp
+++ b/bench/claims_explorer/scenario.cpp
@@ -8,8 +8,8 @@
 
 using std::chrono::seconds;
 
-// Short times in the proportions of the real ones, so that a leap takes few
-// ticks.
+// Scaled-down times with the proportions of the production defaults, so that a
+// clock jump takes few ticks.
 fleet::claim_settings short_settings(int quorum_delta, ablation off)
 {
     fleet::claim_settings settings;
@@ -59,8 +59,9 @@
     for (std::size_t index = 0; index < hosts; ++index) {
         names.push_back("host-" + std::to_string(index));
     }
-    // Each list has as many hosts as there are witnesses, so that the lists
-    // are the witness sets: two change places, then two others change back.
+    // Each list has as many hosts as there are witnesses, so each list is a
+    // witness set: the second list replaces two hosts, and the third list
+    // brings these two back and removes two others.
     std::size_t const last = hosts - 1;
     std::size_t const spare = hosts - settings.witnesses;
     std::vector<std::vector<std::size_t>> members{{0, 1, 2, 3, 4}};
@@ -84,11 +85,11 @@
     return static_cast<std::size_t>(found - names.begin());
 }
 
-model::milliseconds scenario::promise() const
+model::milliseconds scenario::rerun_exclusion_period() const
 {
-    // Of the settings as they should be, also when the lease is switched off.
-    auto const whole = short_settings(0, ablation::none);
-    return whole.retention - whole.grant_lease;
+    // Uses the unmodified settings, even if an ablation disables the lease.
+    auto const unmodified = short_settings(0, ablation::none);
+    return unmodified.retention - unmodified.grant_lease;
 }
 
 } // namespace caperjunction::claims_explorer
--- a/bench/claims_explorer/scenario.hpp
+++ b/bench/claims_explorer/scenario.hpp
@@ -14,42 +14,44 @@
 
 namespace caperjunction::claims_explorer {
 
-/// A mechanism that is switched off, to see what it is worth.
+/// A mechanism that is disabled to measure its effect.
 enum class ablation : std::uint8_t
 {
     none,
-    /// Hosts that are new in a witness set vote at once.
+    /// Hosts that join a witness set vote immediately.
     new_hosts_vote,
-    /// A quorum may be used however old it is.
+    /// A quorum stays usable without a time limit.
     no_grant_lease,
-    /// A host that is cut off from the lists keeps its votes for good.
+    /// A host that no longer receives host lists keeps its votes forever.
     no_view_lease,
 };
 
-/// What stays the same in all histories of a search: hosts, lists, times.
+/// Parameters that are the same in all histories of a search: hosts, host
+/// lists and times.
 ///
-/// Thread safety: immutable; shared between the search's threads.
+/// Thread safety: immutable; shared by the search threads.
 struct scenario
 {
     /// \pre hosts is at least the number of witnesses.
     scenario(std::size_t hosts, int quorum_delta, ablation off);
 
-    /// Only these take calls.
+    /// Only the first `entry_hosts` hosts accept calls.
     static constexpr std::size_t entry_hosts = 2;
     static constexpr std::size_t leap_kinds = 4;
 
     std::vector<std::string> names;
     fleet::claim_settings settings;
-    /// In order of revision; the first is in force at the start.
+    /// Ordered by revision; the first one is in force initially.
     std::vector<std::shared_ptr<fleet::claim_view const>> lists;
-    /// Past the claim timeout, the grant lease, the horizon, the maturity.
+    /// Clock jumps: past the claim timeout, the grant lease, the horizon and
+    /// the maturity.
     std::array<model::milliseconds, leap_kinds> leaps{};
-    /// Between two ticks of a host that doesn't sleep.
+    /// Interval between two ticks of a host that is not paused.
     model::milliseconds tick{0};
 
     std::size_t index_of(std::string const& name) const;
-    /// Within that time of a run no second one may happen.
-    model::milliseconds promise() const;
+    /// Returns the time after a run in which no second run may happen.
+    model::milliseconds rerun_exclusion_period() const;
 };
 
 } // namespace caperjunction::claims_explorer
--- a/bench/claims_explorer/search.cpp
+++ b/bench/claims_explorer/search.cpp
@@ -24,14 +24,14 @@
 }
 
 template <typename State>
-search_result follow(State const& from, search_limits const& limits)
+search_result run_search(State const& from, search_limits const& limits)
 {
     auto const visited = std::make_unique<visited_states>();
     branch_pool<State> pool(limits.threads);
     visited->insert(from.hash());
     std::vector<branch<State>> first;
     first.push_back({from, 0, nullptr});
-    pool.put(std::move(first));
+    pool.push(std::move(first));
 
     std::vector<std::unique_ptr<search_worker<State>>> workers;
     std::vector<std::thread> threads;
@@ -57,14 +57,14 @@
                      fault_budget const& budget,
                      search_limits const& limits)
 {
-    return follow(world(fixed, budget), limits);
+    return run_search(world(fixed, budget), limits);
 }
 
 search_result search_orders(order_scenario const& fixed,
                             fault_budget const& budget,
                             search_limits const& limits)
 {
-    return follow(order_world(fixed, budget), limits);
+    return run_search(order_world(fixed, budget), limits);
 }
 
 } // namespace caperjunction::claims_explorer
--- a/bench/claims_explorer/search.hpp
+++ b/bench/claims_explorer/search.hpp
@@ -12,43 +12,45 @@
 
 namespace caperjunction::claims_explorer {
 
-/// How far a search goes.
+/// Limits of a search.
 struct search_limits
 {
-    /// Steps of one history.
+    /// Maximum number of steps in one history.
     std::size_t depth = 120;
-    /// Different states; a search that meets it is not exhaustive.
+    /// Maximum number of distinct states. A search that reaches it is not
+    /// exhaustive.
     std::size_t max_states = 1'000'000;
     std::size_t threads = 1;
-    /// Shuffles the order of steps; matters only if `max_states` is met.
+    /// Determines the order of steps; only matters if `max_states` is reached.
     std::uint64_t seed = 1;
-    /// End at the first violation.
+    /// Stops at the first violation.
     bool stop_at_first = false;
 };
 
-/// What a search saw.
+/// Result of a search.
 struct search_result
 {
     std::size_t states = 0;
     std::size_t runs_twice = 0;
     std::size_t false_not_run = 0;
-    /// Orders of an older orderer that an engine took after a newer one's.
+    /// Orders of an older orderer that an engine accepted after an order of a
+    /// newer one.
     std::size_t stale_orders = 0;
     std::size_t stuck = 0;
-    /// Quiet states whose way out was tried.
+    /// Quiescent states that were checked for recovery.
     std::size_t settled = 0;
-    /// Every history within the budget was followed to its end.
+    /// Whether every history within the budget was explored to its end.
     bool exhaustive = true;
-    /// Steps to the first violation.
+    /// Steps that lead to the first violation.
     std::vector<step> history;
 };
 
-/// Follows all histories that `budget` allows, each state once.
+/// Explores all histories that `budget` allows; visits each state once.
 search_result search(scenario const& fixed,
                      fault_budget const& budget,
                      search_limits const& limits);
 
-/// Follows all histories of two hosts that order one engine.
+/// Explores all histories of two hosts that send orders to one engine.
 search_result search_orders(order_scenario const& fixed,
                             fault_budget const& budget,
                             search_limits const& limits);
--- a/bench/claims_explorer/search_worker.hpp
+++ b/bench/claims_explorer/search_worker.hpp
@@ -18,34 +18,35 @@
 
 namespace caperjunction::claims_explorer {
 
-/// How a state was reached.
-struct trail
+/// Path to a state: the last step and the path before it.
+struct path_node
 {
     step last;
-    std::shared_ptr<trail const> before;
+    std::shared_ptr<path_node const> parent;
 };
 
-/// A state that is still to be followed.
+/// A state whose successors are not explored yet.
 template <typename State>
 struct branch
 {
     State state;
     std::size_t depth = 0;
-    std::shared_ptr<trail const> way;
+    std::shared_ptr<path_node const> path;
 };
 
 template <typename State>
 std::vector<step> history_of(branch<State> const& end)
 {
     std::vector<step> steps;
-    for (auto const* at = end.way.get(); at != nullptr; at = at->before.get()) {
+    for (auto const* at = end.path.get(); at != nullptr;
+         at = at->parent.get()) {
         steps.push_back(at->last);
     }
     std::reverse(steps.begin(), steps.end());
     return steps;
 }
 
-/// Branches that no thread works on yet, and when all work is done.
+/// Branches that no thread is working on. Detects the end of the search.
 ///
 /// Thread safety: any thread.
 template <typename State>
@@ -57,7 +58,7 @@
     {
     }
 
-    void put(std::vector<branch<State>>&& branches)
+    void push(std::vector<branch<State>>&& branches)
     {
         std::lock_guard<std::mutex> const lock(m_mutex);
         for (auto& one : branches) {
@@ -66,8 +67,9 @@
         m_changed.notify_all();
     }
 
-    /// Waits for a branch; false once all are followed to their end.
-    bool take(std::vector<branch<State>>& out)
+    /// Waits for a branch. Returns false once all branches are explored or the
+    /// search is stopped.
+    bool pop(std::vector<branch<State>>& out)
     {
         std::unique_lock<std::mutex> lock(m_mutex);
         ++m_idle;
@@ -85,7 +87,7 @@
         return true;
     }
 
-    bool hungry()
+    bool needs_work()
     {
         std::lock_guard<std::mutex> const lock(m_mutex);
         return m_idle > 0 && m_branches.size() < m_workers;
@@ -136,13 +138,13 @@
         constexpr std::size_t s_share_every = 64;
         std::size_t count = 0;
         std::vector<branch<State>> stack;
-        while (m_pool.take(stack)) {
+        while (m_pool.pop(stack)) {
             while (!stack.empty()) {
                 branch<State> const at = std::move(stack.back());
                 stack.pop_back();
                 expand(at, stack);
                 if (++count % s_share_every == 0) {
-                    share(stack);
+                    share_branches(stack);
                 }
             }
         }
@@ -173,27 +175,29 @@
             if (!m_visited.insert(next.state.hash())) {
                 continue;
             }
-            next.way = std::make_shared<trail const>(trail{what, at.way});
-            if (note(next)) {
+            next.path =
+                std::make_shared<path_node const>(path_node{what, at.path});
+            if (record(next)) {
                 stack.push_back(std::move(next));
             }
         }
     }
 
-    // Counts what the state shows; false if its history ends here.
-    bool note(branch<State> const& at)
+    // Adds the violations of a state to the result. Returns false if its
+    // history ends here.
+    bool record(branch<State> const& at)
     {
-        auto const& found = at.state.found();
+        auto const& found = at.state.found_violations();
         m_result.runs_twice += found.runs_twice;
         m_result.false_not_run += found.false_not_run;
         m_result.stale_orders += found.stale_orders;
-        bool stuck = false;
-        if (!found.any() && at.state.quiet()) {
+        bool is_stuck = false;
+        if (!found.any() && at.state.is_quiescent()) {
             ++m_result.settled;
-            stuck = at.state.stuck();
-            m_result.stuck += stuck ? 1 : 0;
+            is_stuck = at.state.is_stuck();
+            m_result.stuck += is_stuck ? 1 : 0;
         }
-        bool const bad = found.any() || stuck;
+        bool const bad = found.any() || is_stuck;
         if (bad && m_result.history.empty()) {
             m_result.history = history_of(at);
         }
@@ -204,19 +208,19 @@
         return !bad;
     }
 
-    void share(std::vector<branch<State>>& stack)
+    void share_branches(std::vector<branch<State>>& stack)
     {
         if (m_pool.stopped()) {
             stack.clear();
         }
-        if (stack.size() < 2 || !m_pool.hungry()) {
+        if (stack.size() < 2 || !m_pool.needs_work()) {
             return;
         }
-        // The oldest ones have the most below them.
+        // The oldest branches have the largest subtrees.
         auto const half =
             stack.begin() + static_cast<std::ptrdiff_t>(stack.size() / 2);
-        m_pool.put({std::make_move_iterator(stack.begin()),
-                    std::make_move_iterator(half)});
+        m_pool.push({std::make_move_iterator(stack.begin()),
+                     std::make_move_iterator(half)});
         stack.erase(stack.begin(), half);
     }
 
--- a/bench/claims_explorer/step.hpp
+++ b/bench/claims_explorer/step.hpp
@@ -7,7 +7,7 @@
 
 namespace caperjunction::claims_explorer {
 
-/// What can happen next in a history.
+/// Kinds of steps in a history.
 enum class step_kind : std::uint8_t
 {
     deliver,
@@ -29,8 +29,8 @@
     confirm,
 };
 
-/// One step: `index` is a message, a host or a leap; `host` the host that
-/// sleeps through a leap, or none.
+/// One step. `index` selects a message, a host or a clock jump; `host` is the
+/// host that is paused during a clock jump, or `no_host`.
 struct step
 {
     static constexpr std::size_t no_host = 99;
@@ -40,7 +40,7 @@
     std::size_t host = no_host;
 };
 
-/// For the history of a violation.
+/// Returns the text of a step for the history of a violation.
 std::string describe(step const& what);
 
 } // namespace caperjunction::claims_explorer
--- a/bench/claims_explorer/violations.hpp
+++ b/bench/claims_explorer/violations.hpp
@@ -5,7 +5,7 @@
 
 namespace caperjunction::claims_explorer {
 
-/// What a history broke.
+/// Number of violations of each kind in a history.
 struct violations
 {
     std::uint32_t runs_twice = 0;
--- a/bench/claims_explorer/visited_states.hpp
+++ b/bench/claims_explorer/visited_states.hpp
@@ -10,14 +10,14 @@
 
 namespace caperjunction::claims_explorer {
 
-/// The states that a search has been in, by hash. Two of ten million states
-/// share 64 bits with a chance of about 3 in a million.
+/// Hashes of the visited states of a search. With ten million states, the
+/// probability of a 64-bit collision is about 3 in a million.
 ///
 /// Thread safety: any thread.
 class visited_states
 {
 public:
-    /// True if the state is new.
+    /// Returns whether the state is new.
     bool insert(std::uint64_t hash)
     {
         auto& shard = m_shards[hash % shard_count];
--- a/bench/claims_explorer/world.cpp
+++ b/bench/claims_explorer/world.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr fleet::claim_key the_key{1, 1};
-constexpr std::uint64_t the_fingerprint = 1;
+constexpr fleet::claim_key call_key{1, 1};
+constexpr std::uint64_t call_fingerprint = 1;
 
 } // namespace
 
 world::world(scenario const& fixed, fault_budget const& budget)
-    : m_fixed(&fixed)
+    : m_scenario(&fixed)
     , m_budget(budget)
     , m_now(std::chrono::hours(1))
     , m_published{m_now}
@@ -29,7 +29,7 @@
     for (std::size_t host = 0; host < fixed.names.size(); ++host) {
         adopt(host, 0);
         confirm(host);
-        seal(host);
+        update_hash(host);
     }
 }
 
@@ -45,12 +45,12 @@
         break;
     case step_kind::hold:
         --m_budget.holds;
-        m_flights[what.index].held = true;
+        m_in_flight[what.index].held = true;
         break;
     case step_kind::drop:
         --m_budget.drops;
-        m_flights.erase(m_flights.begin()
-                        + static_cast<std::ptrdiff_t>(what.index));
+        m_in_flight.erase(m_in_flight.begin()
+                          + static_cast<std::ptrdiff_t>(what.index));
         break;
     case step_kind::start:
         start(what.index);
@@ -69,11 +69,11 @@
         break;
     }
     for (std::size_t host = 0; host < m_members.size(); ++host) {
-        seal(host);
+        update_hash(host);
     }
 }
 
-// Steps that are no message's and no call's.
+// Applies steps other than those of messages and calls.
 void world::apply_to_fleet(step const& what)
 {
     switch (what.kind) {
@@ -89,12 +89,13 @@
         break;
     case step_kind::leave:
         --m_budget.leaves;
-        edit(what.index).leaving = true;
-        tell(what.index, fleet::witness_event(fleet::claim_stop_planned{}));
+        mutable_node(what.index).leaving = true;
+        handle_event(what.index,
+                     fleet::witness_event(fleet::claim_stop_planned{}));
         break;
     case step_kind::crash:
         --m_budget.crashes;
-        edit(what.index).alive = false;
+        mutable_node(what.index).alive = false;
         break;
     case step_kind::restart:
         --m_budget.restarts;
@@ -103,10 +104,10 @@
     case step_kind::leap:
         --m_budget.leaps;
         m_budget.pauses -= what.host == step::no_host ? 0 : 1;
-        leap(m_fixed->leaps[what.index], what.host);
+        leap(m_scenario->leaps[what.index], what.host);
         break;
     case step_kind::wake:
-        edit(what.index).woke = true;
+        mutable_node(what.index).ticked_after_pause = true;
         tick(what.index);
         break;
     default:
@@ -121,16 +122,17 @@
     for (auto const& one : m_members) {
         parts.push_back(one.hash);
     }
-    // What is delivered in order counts in order; what races doesn't.
-    std::vector<std::uint64_t> letters;
-    for (auto const& one : m_flights) {
-        bool const unordered = one.held || one.letter->races();
-        auto const hash = one.letter->hash + (one.held ? 1 : 0);
-        (unordered ? letters : parts).push_back(hash);
+    // Messages that are delivered in order are hashed in order; the hash does
+    // not depend on the order of the others.
+    std::vector<std::uint64_t> messages;
+    for (auto const& one : m_in_flight) {
+        bool const unordered = one.held || one.packet->is_unordered();
+        auto const hash = one.packet->hash + (one.held ? 1 : 0);
+        (unordered ? messages : parts).push_back(hash);
     }
-    parts.push_back(letters.size());
-    std::sort(letters.begin(), letters.end());
-    parts.insert(parts.end(), letters.begin(), letters.end());
+    parts.push_back(messages.size());
+    std::sort(messages.begin(), messages.end());
+    parts.insert(parts.end(), messages.begin(), messages.end());
     auto const add_age = [&](model::time_point then) {
         parts.push_back(static_cast<std::uint64_t>((m_now - then).count()));
     };
@@ -142,7 +144,7 @@
     return XXH3_64bits(parts.data(), parts.size() * sizeof parts[0]);
 }
 
-node& world::edit(std::size_t host)
+node& world::mutable_node(std::size_t host)
 {
     auto& one = m_members[host];
     if (one.hash != 0) {
@@ -152,7 +154,7 @@
     return *one.state;
 }
 
-void world::seal(std::size_t host)
+void world::update_hash(std::size_t host)
 {
     auto& one = m_members[host];
     if (one.hash == 0) {
@@ -161,65 +163,67 @@
 }
 
 void world::send(std::size_t from,
-                 std::vector<fleet::claim_send> const& letters)
+                 std::vector<fleet::claim_send> const& messages)
 {
-    for (auto const& one : letters) {
-        envelope letter{from, m_fixed->index_of(one.to), one.message, 0};
-        if (letter.to == m_fixed->names.size()) {
+    for (auto const& one : messages) {
+        envelope packet{from, m_scenario->index_of(one.to), one.message, 0};
+        if (packet.to == m_scenario->names.size()) {
             continue;
         }
-        letter.hash = hash_of(letter);
-        m_flights.push_back(
-            {std::make_shared<envelope const>(std::move(letter)), false});
+        packet.hash = hash_of(packet);
+        m_in_flight.push_back(
+            {std::make_shared<envelope const>(std::move(packet)), false});
     }
 }
 
 void world::deliver(std::size_t index, bool keep)
 {
-    auto const letter = m_flights[index].letter;
+    auto const packet = m_in_flight[index].packet;
     if (keep) {
-        m_flights[index].held = true;
+        m_in_flight[index].held = true;
     } else {
-        m_flights.erase(m_flights.begin() + static_cast<std::ptrdiff_t>(index));
+        m_in_flight.erase(m_in_flight.begin()
+                          + static_cast<std::ptrdiff_t>(index));
     }
-    if (m_members[letter->to].state->alive) {
-        tell_both(letter->to, {m_fixed->names[letter->from], letter->message});
+    if (m_members[packet->to].state->alive) {
+        handle_message(packet->to,
+                       {m_scenario->names[packet->from], packet->message});
     }
 }
 
-void world::tell(std::size_t host, fleet::witness_event const& event)
+void world::handle_event(std::size_t host, fleet::witness_event const& event)
 {
     std::vector<fleet::claim_send> out;
-    edit(host).witness.handle(event, m_now, out);
+    mutable_node(host).witness.handle(event, m_now, out);
     send(host, out);
 }
 
-void world::tell(std::size_t host, fleet::claimant_event const& event)
+void world::handle_event(std::size_t host, fleet::claimant_event const& event)
 {
     std::vector<fleet::claim_decision> out;
-    edit(host).claimant.handle(event, m_now, out);
+    mutable_node(host).claimant.handle(event, m_now, out);
     for (auto const& decision : out) {
-        take(host, decision);
+        execute(host, decision);
     }
 }
 
-void world::tell_both(std::size_t host, fleet::claim_received const& event)
+void world::handle_message(std::size_t host, fleet::claim_received const& event)
 {
-    tell(host, fleet::witness_event(event));
-    tell(host, fleet::claimant_event(event));
+    handle_event(host, fleet::witness_event(event));
+    handle_event(host, fleet::claimant_event(event));
 }
 
-void world::take(std::size_t host, fleet::claim_decision const& decision)
+void world::execute(std::size_t host, fleet::claim_decision const& decision)
 {
-    node& one = edit(host);
-    if (auto const* letter = std::get_if<fleet::claim_send>(&decision)) {
-        send(host, {*letter});
+    node& one = mutable_node(host);
+    if (auto const* packet = std::get_if<fleet::claim_send>(&decision)) {
+        send(host, {*packet});
     } else if (auto const* go = std::get_if<fleet::claim_proceed>(&decision)) {
         one.stage = call_stage::queued;
         one.ticket = go->ticket;
     } else if (auto const* no = std::get_if<fleet::claim_not_run>(&decision)) {
-        m_found.false_not_run += ran_lately() ? 1 : 0;
-        one.told_not_run = one.told_not_run || no->ticket == one.ticket;
+        m_violations.false_not_run += ran_recently() ? 1 : 0;
+        one.reported_not_run = one.reported_not_run || no->ticket == one.ticket;
         one.stage = call_stage::idle;
     } else if (std::holds_alternative<fleet::claim_unknown>(decision)
                || std::holds_alternative<fleet::claim_fetch_answer>(decision)) {
@@ -230,7 +234,7 @@
 
 void world::start(std::size_t host)
 {
-    node& one = edit(host);
+    node& one = mutable_node(host);
     bool const again = one.stage != call_stage::idle;
     m_budget.resends -= one.starts > 0 ? 1 : 0;
     ++one.starts;
@@ -238,42 +242,44 @@
     if (!again) {
         one.stage = call_stage::waiting;
         one.ticket = m_tickets;
-        one.told_not_run = false;
+        one.reported_not_run = false;
     }
-    tell(host,
-         fleet::claimant_event(
-             fleet::claim_started{the_key, the_fingerprint, m_tickets}));
+    handle_event(host,
+                 fleet::claimant_event(fleet::claim_started{
+                     call_key, call_fingerprint, m_tickets}));
 }
 
-// What the wiring does: asks once more, and only then sends to an upstream.
+// Acts as the host process does: it asks the claimant again directly before it
+// sends the call to an upstream.
 void world::dispatch(std::size_t host, bool runs)
 {
-    node& one = edit(host);
-    bool const allowed = one.claimant.begin_dispatch(the_key, m_now);
+    node& one = mutable_node(host);
+    bool const allowed = one.claimant.begin_dispatch(call_key, m_now);
     if (!allowed) {
         end(host, model::outcome::not_run);
         return;
     }
-    m_found.false_not_run += one.told_not_run ? 1 : 0;
+    m_violations.false_not_run += one.reported_not_run ? 1 : 0;
     if (!runs) {
         end(host, model::outcome::not_run);
         return;
     }
-    m_found.runs_twice += ran_lately() ? 1 : 0;
+    m_violations.runs_twice += ran_recently() ? 1 : 0;
     m_runs.push_back(m_now);
     one.stage = call_stage::dispatched;
 }
 
 void world::end(std::size_t host, model::outcome outcome)
 {
-    edit(host).stage = call_stage::idle;
-    tell(host, fleet::claimant_event(fleet::claim_ended{the_key, outcome}));
+    mutable_node(host).stage = call_stage::idle;
+    handle_event(host,
+                 fleet::claimant_event(fleet::claim_ended{call_key, outcome}));
 }
 
-bool world::ran_lately() const
+bool world::ran_recently() const
 {
     return std::any_of(m_runs.begin(), m_runs.end(), [&](auto const& run) {
-        return m_now - run < m_fixed->promise();
+        return m_now - run < m_scenario->rerun_exclusion_period();
     });
 }
 
--- a/bench/claims_explorer/world.hpp
+++ b/bench/claims_explorer/world.hpp
@@ -17,7 +17,7 @@
 
 namespace caperjunction::claims_explorer {
 
-/// A message on its way.
+/// A message in flight.
 struct envelope
 {
     std::size_t from = 0;
@@ -25,17 +25,18 @@
     fleet::claim_message message;
     std::uint64_t hash = 0;
 
-    /// Requests race, and are delivered in any order. All else is delivered
-    /// at once and in order unless a fault is spent on it; else the search
-    /// would spend itself on orders that make no difference.
-    bool races() const
+    /// Requests are delivered in any order. All other messages are delivered
+    /// immediately and in order, unless the fault budget is spent on them;
+    /// otherwise the search would use up its states on message orders that
+    /// make no difference.
+    bool is_unordered() const
     {
         return std::holds_alternative<fleet::claim_request>(message);
     }
 };
 
-/// One state of the whole fleet: hosts, messages on their way, the clock,
-/// what ran, and the faults that may still come. Copies share what is equal.
+/// One state of the fleet: hosts, messages in flight, the clock, past runs and
+/// the remaining fault budget. Copies share unchanged nodes and messages.
 ///
 /// Thread safety: none; copies are independent.
 class world
@@ -44,31 +45,32 @@
     /// \pre fixed outlives all copies.
     world(scenario const& fixed, fault_budget const& budget);
 
-    /// What may happen next; empty at the end of a history.
+    /// Returns the possible next steps; empty at the end of a history.
     std::vector<step> steps() const;
 
-    /// \pre what is one of `steps()`.
+    /// \pre what is an element of `steps()`.
     void apply(step const& what);
 
-    /// 64 bits of hash; equal states have equal ones.
+    /// Returns a 64-bit hash. Equal states have equal hashes.
     std::uint64_t hash() const;
 
-    violations const& found() const
+    violations const& found_violations() const
     {
-        return m_found;
+        return m_violations;
     }
 
-    /// Whether nothing is on its way but what was held back.
-    bool quiet() const;
+    /// Returns whether only delayed messages are in flight.
+    bool is_quiescent() const;
 
-    /// Whether the fleet, once all faults are over, fails to answer a caller
-    /// or never runs a new call under the key again. Works on a copy.
-    bool stuck() const;
+    /// Returns whether the fleet, after all faults have ended, leaves a caller
+    /// without an answer or never runs a new call under the key again. Works
+    /// on a copy.
+    bool is_stuck() const;
 
 private:
-    struct flight
+    struct message_in_flight
     {
-        std::shared_ptr<envelope const> letter;
+        std::shared_ptr<envelope const> packet;
         bool held = false;
     };
 
@@ -78,22 +80,22 @@
         std::uint64_t hash = 0;
     };
 
-    // Steps of one kind, see world_steps.cpp.
-    bool add_prompt_steps(std::vector<step>& out) const;
+    // Defined in world_steps.cpp.
+    bool add_in_order_steps(std::vector<step>& out) const;
     void add_message_steps(std::vector<step>& out) const;
     void add_call_steps(std::vector<step>& out) const;
     void add_list_steps(std::vector<step>& out) const;
     void add_fault_steps(std::vector<step>& out) const;
 
     void apply_to_fleet(step const& what);
-    node& edit(std::size_t host);
-    void seal(std::size_t host);
-    void send(std::size_t from, std::vector<fleet::claim_send> const& letters);
+    node& mutable_node(std::size_t host);
+    void update_hash(std::size_t host);
+    void send(std::size_t from, std::vector<fleet::claim_send> const& messages);
     void deliver(std::size_t index, bool keep);
-    void tell(std::size_t host, fleet::witness_event const& event);
-    void tell(std::size_t host, fleet::claimant_event const& event);
-    void tell_both(std::size_t host, fleet::claim_received const& event);
-    void take(std::size_t host, fleet::claim_decision const& decision);
+    void handle_event(std::size_t host, fleet::witness_event const& event);
+    void handle_event(std::size_t host, fleet::claimant_event const& event);
+    void handle_message(std::size_t host, fleet::claim_received const& event);
+    void execute(std::size_t host, fleet::claim_decision const& decision);
     void start(std::size_t host);
     void dispatch(std::size_t host, bool runs);
     void end(std::size_t host, model::outcome outcome);
@@ -101,21 +103,21 @@
     void confirm(std::size_t host);
     void tick(std::size_t host);
     void restart(std::size_t host);
-    void leap(model::milliseconds by, std::size_t sleeper);
-    bool ran_lately() const;
-    void heal();
-    void drain();
+    void leap(model::milliseconds by, std::size_t paused_host);
+    bool ran_recently() const;
+    void recover_hosts();
+    void drain_messages();
 
-    scenario const* m_fixed;
+    scenario const* m_scenario;
     fault_budget m_budget;
     model::time_point m_now;
     std::vector<member> m_members;
-    std::vector<flight> m_flights;
+    std::vector<message_in_flight> m_in_flight;
     std::vector<model::time_point> m_published;
     std::vector<model::time_point> m_runs;
     std::uint64_t m_generations = 0;
     std::uint64_t m_tickets = 0;
-    violations m_found;
+    violations m_violations;
 };
 
 } // namespace caperjunction::claims_explorer
--- a/bench/claims_explorer/world_steps.cpp
+++ b/bench/claims_explorer/world_steps.cpp
@@ -5,7 +5,7 @@
 std::vector<step> world::steps() const
 {
     std::vector<step> out;
-    if (add_prompt_steps(out)) {
+    if (add_in_order_steps(out)) {
         return out;
     }
     add_message_steps(out);
@@ -15,11 +15,11 @@
     return out;
 }
 
-bool world::add_prompt_steps(std::vector<step>& out) const
+bool world::add_in_order_steps(std::vector<step>& out) const
 {
-    for (std::size_t index = 0; index < m_flights.size(); ++index) {
-        auto const& one = m_flights[index];
-        if (one.held || one.letter->races()) {
+    for (std::size_t index = 0; index < m_in_flight.size(); ++index) {
+        auto const& one = m_in_flight[index];
+        if (one.held || one.packet->is_unordered()) {
             continue;
         }
         out.push_back({step_kind::deliver, index});
@@ -39,9 +39,9 @@
 
 void world::add_message_steps(std::vector<step>& out) const
 {
-    for (std::size_t index = 0; index < m_flights.size(); ++index) {
+    for (std::size_t index = 0; index < m_in_flight.size(); ++index) {
         out.push_back({step_kind::deliver, index});
-        if (m_flights[index].held) {
+        if (m_in_flight[index].held) {
             continue;
         }
         if (m_budget.drops > 0) {
@@ -76,7 +76,7 @@
 
 void world::add_list_steps(std::vector<step>& out) const
 {
-    if (m_budget.lists > 0 && m_published.size() < m_fixed->lists.size()) {
+    if (m_budget.lists > 0 && m_published.size() < m_scenario->lists.size()) {
         out.push_back({step_kind::publish, 0});
     }
     for (std::size_t host = 0; host < m_members.size(); ++host) {
@@ -87,10 +87,10 @@
         if (one.alive && one.list + 2 < m_published.size()) {
             out.push_back({step_kind::adopt_newest, host});
         }
-        if (one.alive && one.slept) {
+        if (one.alive && one.was_paused) {
             out.push_back({step_kind::confirm, host});
         }
-        if (one.alive && one.slept && !one.woke) {
+        if (one.alive && one.was_paused && !one.ticked_after_pause) {
             out.push_back({step_kind::wake, host});
         }
     }
--- a/bench/claims_explorer/world_time.cpp
+++ b/bench/claims_explorer/world_time.cpp
@@ -6,32 +6,32 @@
 
 void world::adopt(std::size_t host, std::size_t list)
 {
-    edit(host).list = list;
-    fleet::claim_view_listed const event{m_fixed->lists[list]};
-    tell(host, fleet::witness_event(event));
-    tell(host, fleet::claimant_event(event));
+    mutable_node(host).list = list;
+    fleet::claim_view_listed const event{m_scenario->lists[list]};
+    handle_event(host, fleet::witness_event(event));
+    handle_event(host, fleet::claimant_event(event));
 }
 
-// A host that goes by an older list can only vouch for the time until the
-// next one came out.
+// A host with an outdated list can only confirm it up to the publication of
+// the next list.
 void world::confirm(std::size_t host)
 {
-    node& one = edit(host);
+    node& one = mutable_node(host);
     bool const newest = one.list + 1 == m_published.size();
     auto const as_of = newest ? m_now : m_published[one.list + 1];
     if (newest) {
-        one.slept = false;
-        one.woke = false;
+        one.was_paused = false;
+        one.ticked_after_pause = false;
     }
     fleet::claim_view_confirmed const event{as_of};
-    tell(host, fleet::witness_event(event));
-    tell(host, fleet::claimant_event(event));
+    handle_event(host, fleet::witness_event(event));
+    handle_event(host, fleet::claimant_event(event));
 }
 
 void world::tick(std::size_t host)
 {
-    tell(host, fleet::witness_event(fleet::claim_tick{}));
-    tell(host, fleet::claimant_event(fleet::claim_tick{}));
+    handle_event(host, fleet::witness_event(fleet::claim_tick{}));
+    handle_event(host, fleet::claimant_event(fleet::claim_tick{}));
 }
 
 void world::restart(std::size_t host)
@@ -39,42 +39,42 @@
     auto const starts = m_members[host].state->starts;
     ++m_generations;
     m_members[host].state =
-        std::make_shared<node>(*m_fixed, host, m_generations, false);
+        std::make_shared<node>(*m_scenario, host, m_generations, false);
     m_members[host].hash = 0;
-    edit(host).starts = starts;
+    mutable_node(host).starts = starts;
     adopt(host, m_published.size() - 1);
     confirm(host);
 }
 
-void world::leap(model::milliseconds by, std::size_t sleeper)
+void world::leap(model::milliseconds by, std::size_t paused_host)
 {
     auto const until = m_now + by;
     while (m_now < until) {
-        m_now = std::min(m_now + m_fixed->tick, until);
+        m_now = std::min(m_now + m_scenario->tick, until);
         for (std::size_t host = 0; host < m_members.size(); ++host) {
             node const& one = *m_members[host].state;
-            bool const asleep = host == sleeper || one.slept;
-            if (one.alive && !asleep) {
+            bool const is_paused = host == paused_host || one.was_paused;
+            if (one.alive && !is_paused) {
                 confirm(host);
                 tick(host);
             }
         }
     }
     for (std::size_t host = 0; host < m_members.size(); ++host) {
-        bool const asleep = host == sleeper;
-        node& one = edit(host);
-        one.slept = one.slept || asleep;
-        one.woke = one.woke && !asleep;
+        bool const is_paused = host == paused_host;
+        node& one = mutable_node(host);
+        one.was_paused = one.was_paused || is_paused;
+        one.ticked_after_pause = one.ticked_after_pause && !is_paused;
     }
 }
 
-// All messages arrive, all calls that were let through end.
-void world::drain()
+// Delivers all messages and completes all calls that may proceed.
+void world::drain_messages()
 {
     bool busy = true;
     while (busy) {
-        busy = !m_flights.empty();
-        while (!m_flights.empty()) {
+        busy = !m_in_flight.empty();
+        while (!m_in_flight.empty()) {
             deliver(0, false);
         }
         for (std::size_t host = 0; host < scenario::entry_hosts; ++host) {
@@ -91,12 +91,13 @@
     }
 }
 
-void world::heal()
+void world::recover_hosts()
 {
     for (std::size_t host = 0; host < m_members.size(); ++host) {
         node const& one = *m_members[host].state;
-        bool const listed = m_fixed->lists[m_published.size() - 1]->is_witness(
-            m_fixed->names[host], 0);
+        bool const listed =
+            m_scenario->lists[m_published.size() - 1]->is_witness(
+                m_scenario->names[host], 0);
         if (!one.alive || (one.leaving && listed)) {
             restart(host);
         } else if (one.list + 1 < m_published.size()) {
@@ -106,35 +107,36 @@
     }
 }
 
-bool world::quiet() const
+bool world::is_quiescent() const
 {
-    return std::all_of(
-        m_flights.begin(), m_flights.end(), [](flight const& one) {
-            return one.held;
-        });
+    return std::all_of(m_in_flight.begin(),
+                       m_in_flight.end(),
+                       [](message_in_flight const& one) {
+                           return one.held;
+                       });
 }
 
-bool world::stuck() const
+bool world::is_stuck() const
 {
     world copy = *this;
-    copy.drain();
-    copy.leap(m_fixed->leaps.front(), step::no_host);
-    copy.drain();
+    copy.drain_messages();
+    copy.leap(m_scenario->leaps.front(), step::no_host);
+    copy.drain_messages();
     for (std::size_t host = 0; host < scenario::entry_hosts; ++host) {
         node const& one = *copy.m_members[host].state;
         bool const open =
             one.stage != call_stage::idle || one.claimant.active({1, 1});
-        if (one.alive && !one.slept && open) {
+        if (one.alive && !one.was_paused && open) {
             return true;
         }
     }
-    copy.heal();
-    copy.drain();
-    copy.leap(m_fixed->leaps.back(), step::no_host);
-    copy.drain();
+    copy.recover_hosts();
+    copy.drain_messages();
+    copy.leap(m_scenario->leaps.back(), step::no_host);
+    copy.drain_messages();
     copy.start(0);
-    copy.m_found = {};
-    while (!copy.m_flights.empty()) {
+    copy.m_violations = {};
+    while (!copy.m_in_flight.empty()) {
         copy.deliver(0, false);
     }
     return copy.m_members[0].state->stage != call_stage::queued;
