--- a/bench/fleet_bench/bench_lists.cpp
+++ b/bench/fleet_bench/bench_lists.cpp
@@ -16,7 +16,7 @@
 bench_lists::bench_lists(std::size_t teams, std::uint64_t seed)
     : m_random(seed)
 {
-    for (std::size_t place = 0; place < teams; ++place) {
+    for (std::size_t index = 0; index < teams; ++index) {
         m_salts.push_back(random_hex(salt_digits));
         m_hashes.push_back(random_hex(hash_digits));
     }
@@ -26,7 +26,7 @@
 {
     std::uniform_int_distribution<int> digit(0, 15);
     std::string text;
-    for (std::size_t place = 0; place < digits; ++place) {
+    for (std::size_t index = 0; index < digits; ++index) {
         text += "0123456789abcdef"[digit(m_random)];
     }
     return text;
@@ -48,15 +48,15 @@
 "classes":[{"name":"chat","tier":"gold"},{"name":"draft","tier":"green"}],
 "plans":[{"name":"full","classes":["chat","draft"]}],
 "customers":[{"name":"group","teams":[)";
-    for (std::size_t place = 0; place < m_hashes.size(); ++place) {
+    for (std::size_t index = 0; index < m_hashes.size(); ++index) {
         text += fmt::format(
             "{}\n{{\"name\":\"team-{:04}\",\"plan\":\"full\",\"keys\":[{{"
             "\"id\":\"k{:04}\",\"salt\":\"{}\",\"sha256\":\"{}\"}}]}}",
-            place == 0 ? "" : ",",
-            place,
-            place,
-            m_salts[place],
-            m_hashes[place]);
+            index == 0 ? "" : ",",
+            index,
+            index,
+            m_salts[index],
+            m_hashes[index]);
     }
     return text + "]}]}\n";
 }
--- a/bench/fleet_bench/bench_lists.hpp
+++ b/bench/fleet_bench/bench_lists.hpp
@@ -11,7 +11,8 @@
 
 namespace caperjunction::bench {
 
-/// A list of plans for so many teams, and edits of it as operators make them.
+/// Generates a list of plans with a given number of teams, and edits it as
+/// operators do.
 ///
 /// Thread safety: none.
 class bench_lists
@@ -19,13 +20,13 @@
 public:
     bench_lists(std::size_t teams, std::uint64_t seed);
 
-    /// The list of plans as JSON text.
+    /// Returns the list of plans as JSON.
     std::string plans() const;
 
-    /// The list of entitlements that goes with it.
+    /// Returns the matching list of entitlements as JSON.
     static std::string entitlements();
 
-    /// Gives one random team a new key.
+    /// Replaces the key of one random team.
     void change_one_key();
 
     std::size_t teams() const
@@ -41,7 +42,7 @@
     std::vector<std::string> m_hashes;
 };
 
-/// Parses and checks the two lists as the product does; other values pass.
+/// Parses and checks both lists as the router does. Accepts all other values.
 std::vector<lists::fault> check_lists(fleet::value_bodies const& bodies);
 
 } // namespace caperjunction::bench
--- a/bench/fleet_bench/fault_scenarios.cpp
+++ b/bench/fleet_bench/fault_scenarios.cpp
@@ -11,9 +11,9 @@
 
 struct false_alarms
 {
-    /// Of hosts that were paused, by others.
+    /// Reports of the paused host as lost, by other hosts.
     std::size_t of_paused = 0;
-    /// Of hosts that ran all the time.
+    /// Reports of continuously running hosts as lost.
     std::size_t of_running = 0;
 };
 
@@ -21,10 +21,10 @@
 {
     false_alarms count;
     for (observed_change const& seen : fleet.changes()) {
-        if (seen.told.change != fleet::host_change::lost) {
+        if (seen.event.change != fleet::host_change::lost) {
             continue;
         }
-        ++(seen.told.host == paused ? count.of_paused : count.of_running);
+        ++(seen.event.host == paused ? count.of_paused : count.of_running);
     }
     return count;
 }
@@ -39,10 +39,11 @@
 constexpr model::milliseconds step{100};
 constexpr double step_seconds = 0.1;
 
-/// Host-seconds of the last step for which others hold `name` for leaving,
-/// or, with `leaving` false, for one that takes work.
-double
-held_for(virtual_fleet const& fleet, std::string const& name, bool leaving)
+/// Returns the host-seconds of the last step in which other hosts considered
+/// `name` to be leaving, or with `leaving` false, to accept work.
+double observed_host_seconds(virtual_fleet const& fleet,
+                             std::string const& name,
+                             bool leaving)
 {
     double seconds = 0.0;
     for (auto const& [observer, host] : fleet.hosts()) {
@@ -50,13 +51,13 @@
             continue;
         }
         auto const state = host.agent->view()->find(name)->state;
-        bool const held = (state == fleet::host_state::leaving) == leaving;
-        seconds += held ? step_seconds : 0.0;
+        bool const matches = (state == fleet::host_state::leaving) == leaving;
+        seconds += matches ? step_seconds : 0.0;
     }
     return seconds;
 }
 
-/// A heartbeat that a process sent before it ended or was replaced.
+/// Returns a heartbeat of a process that has ended or was replaced.
 fleet::message_received
 old_heartbeat(std::string const& from, std::uint64_t generation, bool leaving)
 {
@@ -66,32 +67,34 @@
     return {from, beat};
 }
 
-/// Replaces one host. A peer that slept meanwhile reads the old process's
-/// last words after the new one's: they came over different connections.
-double replace_with_sleeper(virtual_fleet& fleet,
-                            std::string const& name,
-                            std::string const& sleeper)
+/// Replaces one host. A peer that is paused meanwhile receives the last message
+/// of the old process after those of the new one, because they arrive over
+/// different connections. Returns the host-seconds of a wrong state.
+double replace_with_paused_peer(virtual_fleet& fleet,
+                                std::string const& name,
+                                std::string const& paused_host)
 {
     auto const old = fleet.host(name).agent->view()->find(name)->generation;
-    fleet.pause(sleeper);
+    fleet.pause(paused_host);
     fleet.leave(name);
     fleet.run_for(1s);
     fleet.crash(name);
     fleet.start(name);
     fleet.run_for(3s);
-    fleet.resume(sleeper);
+    fleet.resume(paused_host);
     fleet.run_for(model::milliseconds(20));
-    fleet.tell(sleeper, old_heartbeat(name, old, true));
+    fleet.inject_event(paused_host, old_heartbeat(name, old, true));
     double wrong = 0.0;
     for (int passed = 0; passed < 100; ++passed) {
         fleet.run_for(step);
-        wrong += held_for(fleet, name, true);
+        wrong += observed_host_seconds(fleet, name, true);
     }
     return wrong;
 }
 
-/// A process that was frozen and replaced under its name goes on, and sends
-/// heartbeats while its successor is about to stop.
+/// A process that was frozen and replaced under its name resumes and sends
+/// heartbeats while its successor is stopping. Returns the host-seconds of a
+/// wrong state.
 double leave_beside_old_process(virtual_fleet& fleet, std::string const& name)
 {
     auto const old = fleet.host(name).agent->view()->find(name)->generation;
@@ -102,14 +105,14 @@
     double wrong = 0.0;
     for (int passed = 0; passed < 70; ++passed) {
         fleet.run_for(step);
-        // Two seconds are the few that a leaving host may still get work.
-        wrong += passed < 20 ? 0.0 : held_for(fleet, name, false);
+        // A leaving host may still get work for two seconds (20 steps).
+        wrong += passed < 20 ? 0.0 : observed_host_seconds(fleet, name, false);
         if (passed % 5 != 0) {
             continue;
         }
         for (auto const& [observer, host] : fleet.hosts()) {
             if (observer != name) {
-                fleet.tell(observer, old_heartbeat(name, old, false));
+                fleet.inject_event(observer, old_heartbeat(name, old, false));
             }
         }
     }
@@ -132,9 +135,9 @@
     settings.agent.membership.silence_limit = 4 * heartbeat;
     false_alarms sum;
     for (std::size_t trial = 0; trial < options.trials; ++trial) {
-        bench_options own = options;
-        own.seed += trial;
-        auto const fleet = make_fleet(hosts, settings, own);
+        bench_options trial_options = options;
+        trial_options.seed += trial;
+        auto const fleet = make_fleet(hosts, settings, trial_options);
         std::string const name = nth_host(*fleet, trial);
         fleet->pause(name);
         fleet->run_for(pause);
@@ -161,10 +164,10 @@
                        "per pause"});
 }
 
-void measure_wake(std::size_t hosts,
-                  bool refresh,
-                  bench_options const& options,
-                  std::vector<figure>& figures)
+void measure_resume(std::size_t hosts,
+                    bool refresh,
+                    bench_options const& options,
+                    std::vector<figure>& figures)
 {
     virtual_fleet_settings settings;
     settings.agent.membership.refresh_after_pause = refresh;
@@ -172,18 +175,18 @@
     double waited = 0.0;
     std::size_t returned = 0;
     for (std::size_t trial = 0; trial < options.trials; ++trial) {
-        bench_options own = options;
-        own.seed += trial;
-        auto const fleet = make_fleet(hosts, settings, own);
-        std::string const sleeper = nth_host(*fleet, trial);
+        bench_options trial_options = options;
+        trial_options.seed += trial;
+        auto const fleet = make_fleet(hosts, settings, trial_options);
+        std::string const paused_host = nth_host(*fleet, trial);
         std::string const dead = nth_host(*fleet, trial + 1);
-        fleet->pause(sleeper);
+        fleet->pause(paused_host);
         fleet->run_for(10s);
         fleet->crash(dead);
         fleet->run_for(20s);
-        fleet->resume(sleeper);
+        fleet->resume(paused_host);
         for (int passed = 0; passed < 100; ++passed) {
-            auto const& agent = *fleet->host(sleeper).agent;
+            auto const& agent = *fleet->host(paused_host).agent;
             auto const state = agent.view()->find(dead)->state;
             bool const lost = state == fleet::host_state::lost;
             acted += agent.is_view_current() && !lost ? step_seconds : 0.0;
@@ -191,8 +194,8 @@
             fleet->run_for(step);
         }
         for (observed_change const& seen : fleet->changes()) {
-            bool const wrong = seen.told.change == fleet::host_change::returned
-                               && seen.told.host == dead;
+            bool const wrong = seen.event.change == fleet::host_change::returned
+                               && seen.event.host == dead;
             returned += wrong ? 1 : 0;
         }
     }
@@ -216,9 +219,9 @@
     settings.agent.membership.refute = refute;
     std::size_t lost = 0;
     for (std::size_t trial = 0; trial < options.trials; ++trial) {
-        bench_options own = options;
-        own.seed += trial;
-        auto const fleet = make_fleet(hosts, settings, own);
+        bench_options trial_options = options;
+        trial_options.seed += trial;
+        auto const fleet = make_fleet(hosts, settings, trial_options);
         std::string const from = nth_host(*fleet, trial);
         std::string const to = nth_host(*fleet, trial + 1);
         fleet->cut(from, to);
@@ -241,15 +244,15 @@
 {
     virtual_fleet_settings settings;
     settings.agent.membership.check_generation = generations;
-    double late_words = 0.0;
+    double late_messages = 0.0;
     double old_process = 0.0;
     for (std::size_t trial = 0; trial < options.trials; ++trial) {
-        bench_options own = options;
-        own.seed += trial;
-        auto const fleet = make_fleet(hosts, settings, own);
+        bench_options trial_options = options;
+        trial_options.seed += trial;
+        auto const fleet = make_fleet(hosts, settings, trial_options);
         std::string const name = nth_host(*fleet, trial);
-        std::string const sleeper = nth_host(*fleet, trial + 1);
-        late_words += replace_with_sleeper(*fleet, name, sleeper);
+        std::string const paused_host = nth_host(*fleet, trial + 1);
+        late_messages += replace_with_paused_peer(*fleet, name, paused_host);
         old_process += leave_beside_old_process(*fleet, name);
     }
     auto const trials = static_cast<double>(options.trials);
@@ -258,7 +261,7 @@
                        hosts,
                        setting,
                        "live host held for leaving",
-                       late_words / trials,
+                       late_messages / trials,
                        "host-s per replacement"});
     figures.push_back({"replacement",
                        hosts,
--- a/bench/fleet_bench/figure.hpp
+++ b/bench/fleet_bench/figure.hpp
@@ -11,7 +11,7 @@
 {
     std::string scenario;
     std::size_t hosts = 0;
-    /// What was set differently from the defaults; empty for none.
+    /// Settings that differ from the defaults; empty if there are none.
     std::string setting;
     std::string name;
     double value = 0.0;
--- a/bench/fleet_bench/load_scenarios.cpp
+++ b/bench/fleet_bench/load_scenarios.cpp
@@ -16,7 +16,7 @@
 {
     double messages = 0.0;
     double bytes = 0.0;
-    double most_bytes = 0.0;
+    double max_bytes = 0.0;
     double config_bytes = 0.0;
     double digest_bytes = 0.0;
     double cpu_seconds = 0.0;
@@ -36,14 +36,14 @@
            || type == value.index();
 }
 
-/// Runs for the load time, and adds up what hosts sent meanwhile.
+/// Runs for `load_time` and returns the traffic of the hosts.
 load run_load(std::size_t hosts,
-              bool splices,
+              bool use_deltas,
               bool count_bytes,
               bench_options const& options)
 {
     virtual_fleet_settings settings;
-    settings.agent.configuration.use_deltas = splices;
+    settings.agent.configuration.use_deltas = use_deltas;
     settings.digest_bytes = options.digest_bytes;
     if (count_bytes) {
         settings.size_of = [](fleet::peer_message const& message) {
@@ -80,8 +80,8 @@
         auto const bytes = static_cast<double>(host.bytes_sent);
         sum.messages += static_cast<double>(host.messages_sent) / host_seconds;
         sum.bytes += bytes / host_seconds;
-        sum.most_bytes = std::max(
-            sum.most_bytes, bytes / static_cast<double>(load_time.count()));
+        sum.max_bytes = std::max(
+            sum.max_bytes, bytes / static_cast<double>(load_time.count()));
         for (auto const& [type, part] : host.bytes_by_type) {
             double const rate = static_cast<double>(part) / host_seconds;
             sum.config_bytes += is_configuration(type) ? rate : 0.0;
@@ -94,28 +94,29 @@
 } // namespace
 
 void measure_load(std::size_t hosts,
-                  bool splices,
+                  bool use_deltas,
                   bench_options const& options,
                   std::vector<figure>& figures)
 {
-    load const sent = run_load(hosts, splices, true, options);
-    // Counting encodes every message twice; processor time is taken without.
-    load const quiet = run_load(hosts, splices, false, options);
+    load const sent = run_load(hosts, use_deltas, true, options);
+    // Counting bytes encodes each message a second time, so processor time is
+    // measured in a separate run without it.
+    load const uncounted = run_load(hosts, use_deltas, false, options);
     auto const setting = fmt::format("{} changes/s of {} teams, digest {} B{}",
                                      options.changes_per_second,
                                      options.teams,
                                      options.digest_bytes,
-                                     splices ? "" : ", no splices");
+                                     use_deltas ? "" : ", no splices");
     auto const add = [&](char const* name, double value, char const* unit) {
         figures.push_back({"load", hosts, setting, name, value, unit});
     };
     add("messages sent", sent.messages, "1/s/host");
     add("bytes sent", sent.bytes, "B/s/host");
-    add("bytes sent, busiest host", sent.most_bytes, "B/s");
+    add("bytes sent, busiest host", sent.max_bytes, "B/s");
     add("of it configuration", sent.config_bytes, "B/s/host");
     add("of it digests", sent.digest_bytes, "B/s/host");
     constexpr double percent = 100.0;
-    add("processor time", quiet.cpu_seconds * percent, "% of a core/host");
+    add("processor time", uncounted.cpu_seconds * percent, "% of a core/host");
 }
 
 } // namespace caperjunction::bench
--- a/bench/fleet_bench/main.cpp
+++ b/bench/fleet_bench/main.cpp
@@ -15,7 +15,10 @@
           scenario,
           "all",
           "detection, in_force, load, pauses, routes, replacement or all");
-ABSL_FLAG(std::uint32_t, hosts, 0, "measure this size alone; 0 for the usual");
+ABSL_FLAG(std::uint32_t,
+          hosts,
+          0,
+          "measure only this fleet size; 0: 7, 14 and 28 hosts");
 ABSL_FLAG(std::uint64_t, seed, 1, "seed of all random choices");
 ABSL_FLAG(std::uint32_t, trials, 20, "repetitions of each fault or change");
 
@@ -27,12 +30,12 @@
 
 constexpr std::size_t large_fleet = 400;
 constexpr std::size_t large_fleet_trials = 5;
-// 61,000 changes a day, and the teams of that size.
+// 61,000 changes per day, with the number of teams of a fleet of that size.
 constexpr double large_fleet_changes = 61'000.0 / 86'400.0;
 constexpr std::size_t large_fleet_teams = 530;
-constexpr std::size_t usual_teams = 10;
+constexpr std::size_t default_teams = 10;
 
-bool wanted(char const* scenario)
+bool is_selected(char const* scenario)
 {
     std::string const chosen = absl::GetFlag(FLAGS_scenario);
     return chosen == "all" || chosen == scenario;
@@ -44,7 +47,7 @@
     options.seed = absl::GetFlag(FLAGS_seed);
     options.trials =
         hosts >= large_fleet ? large_fleet_trials : absl::GetFlag(FLAGS_trials);
-    options.teams = hosts >= large_fleet ? large_fleet_teams : usual_teams;
+    options.teams = hosts >= large_fleet ? large_fleet_teams : default_teams;
     return options;
 }
 
@@ -64,7 +67,7 @@
 void measure_faults(std::size_t hosts, std::vector<figure>& figures)
 {
     auto const options = options_for(hosts);
-    if (wanted("pauses")) {
+    if (is_selected("pauses")) {
         for (auto const heartbeat : {250ms, 500ms, 1'000ms}) {
             for (auto const pause :
                  {500ms, 1'500ms, 2'500ms, 3'500ms, 5'500ms}) {
@@ -72,14 +75,14 @@
                     hosts, heartbeat, pause, options, figures);
             }
         }
-        bench::measure_wake(hosts, true, options, figures);
-        bench::measure_wake(hosts, false, options, figures);
+        bench::measure_resume(hosts, true, options, figures);
+        bench::measure_resume(hosts, false, options, figures);
     }
-    if (wanted("routes")) {
+    if (is_selected("routes")) {
         bench::measure_broken_routes(hosts, true, options, figures);
         bench::measure_broken_routes(hosts, false, options, figures);
     }
-    if (wanted("replacement")) {
+    if (is_selected("replacement")) {
         bench::measure_replacement(hosts, true, options, figures);
         bench::measure_replacement(hosts, false, options, figures);
     }
@@ -94,19 +97,19 @@
     }
     for (std::size_t const hosts : sizes) {
         auto const options = options_for(hosts);
-        if (wanted("detection")) {
+        if (is_selected("detection")) {
             for (auto const heartbeat : {250ms, 500ms, 1'000ms}) {
                 bench::measure_detection(hosts, heartbeat, options, figures);
             }
         }
-        if (wanted("in_force")) {
+        if (is_selected("in_force")) {
             for (auto const fault : {bench::watcher_fault::none,
                                      bench::watcher_fault::most_frozen,
                                      bench::watcher_fault::all_cut_off}) {
                 bench::measure_in_force(hosts, fault, options, figures);
             }
         }
-        if (wanted("load")) {
+        if (is_selected("load")) {
             measure_loads(hosts, figures);
         }
     }
@@ -150,7 +153,7 @@
     absl::ParseCommandLine(argc, argv);
     std::string const format = absl::GetFlag(FLAGS_format);
     if (format != "json" && format != "table") {
-        std::cerr << "unknown --format; give json or table\n";
+        std::cerr << "unknown --format; use json or table\n";
         return 2;
     }
     auto const figures = measure();
--- a/bench/fleet_bench/make_fleet.cpp
+++ b/bench/fleet_bench/make_fleet.cpp
@@ -20,22 +20,22 @@
 {
     settings.seed = options.seed;
     settings.agent.configuration.check = check_lists;
-    auto made = std::make_unique<virtual_fleet>(std::move(settings));
+    auto result = std::make_unique<virtual_fleet>(std::move(settings));
     std::size_t const regions =
         hosts <= two_region_hosts ? 2 : large_fleet_regions;
-    for (std::size_t place = 0; place < hosts; ++place) {
-        made->add_host(fmt::format("host-{:03}", place),
-                       fmt::format("region-{}", place % regions));
+    for (std::size_t index = 0; index < hosts; ++index) {
+        result->add_host(fmt::format("host-{:03}", index),
+                         fmt::format("region-{}", index % regions));
     }
-    made->publish_hosts();
+    result->publish_hosts();
     bench_lists const lists(options.teams, options.seed);
-    made->publish(fleet::published_value::plans, lists.plans());
-    made->publish(fleet::published_value::entitlements,
-                  bench_lists::entitlements());
-    made->publish(fleet::published_value::upstreams, "{}");
-    made->start_all();
-    made->run_for(settle_time);
-    return made;
+    result->publish(fleet::published_value::plans, lists.plans());
+    result->publish(fleet::published_value::entitlements,
+                    bench_lists::entitlements());
+    result->publish(fleet::published_value::upstreams, "{}");
+    result->start_all();
+    result->run_for(settle_time);
+    return result;
 }
 
 } // namespace caperjunction::bench
--- a/bench/fleet_bench/timing_scenarios.cpp
+++ b/bench/fleet_bench/timing_scenarios.cpp
@@ -13,36 +13,37 @@
 namespace {
 
 constexpr model::milliseconds step{10};
-constexpr model::milliseconds patience{60'000};
+constexpr model::milliseconds max_wait{60'000};
 constexpr std::chrono::seconds between_trials{8};
 
-/// Virtual time until `done`, in steps; `patience` if it is not.
+/// Runs in steps until `done`; returns the virtual time, at least `max_wait` if
+/// it times out.
 model::seconds time_until(virtual_fleet& fleet,
                           std::function<bool()> const& done)
 {
     auto const begin = fleet.now();
-    while (!done() && fleet.now() - begin < patience) {
+    while (!done() && fleet.now() - begin < max_wait) {
         fleet.run_for(step);
     }
     return fleet.now() - begin;
 }
 
-void add_spread(std::vector<figure>& figures,
-                figure const& like,
-                std::vector<double> values)
+void add_median_and_max(std::vector<figure>& figures,
+                        figure const& prototype,
+                        std::vector<double> values)
 {
     std::sort(values.begin(), values.end());
-    figure median = like;
+    figure median = prototype;
     median.name += " median";
     median.value = values[values.size() / 2];
     figures.push_back(median);
-    figure most = like;
-    most.name += " max";
-    most.value = values.back();
-    figures.push_back(most);
+    figure maximum = prototype;
+    maximum.name += " max";
+    maximum.value = values.back();
+    figures.push_back(maximum);
 }
 
-bool sees_as_lost(virtual_host const& observer, std::string const& name)
+bool considers_lost(virtual_host const& observer, std::string const& name)
 {
     auto const view = observer.agent->view();
     return view->find(name)->state == fleet::host_state::lost;
@@ -60,13 +61,13 @@
 std::set<std::string> watchers(virtual_fleet& fleet)
 {
     std::set<std::string> names;
-    for (auto const& waiting : fleet.service().watches()) {
-        names.insert(waiting.host);
+    for (auto const& pending : fleet.service().watches()) {
+        names.insert(pending.host);
     }
     return names;
 }
 
-/// Freezes the watchers outside of the first region, and tells who they are.
+/// Freezes the watchers outside of the first region and returns their names.
 std::set<std::string> freeze_most(virtual_fleet& fleet)
 {
     std::string const& first = fleet.hosts().begin()->second.host.region;
@@ -93,7 +94,8 @@
     return ", no watcher reaches the service";
 }
 
-/// Publishes a change of one key; the time until it is in force.
+/// Publishes a change of one key and returns the seconds until it is in force
+/// on all hosts that are not frozen.
 double
 time_one_change(virtual_fleet& fleet, bench_lists& lists, watcher_fault fault)
 {
@@ -138,10 +140,10 @@
     for (std::size_t trial = 0; trial < options.trials; ++trial) {
         std::string const name = random_host(*fleet, random);
         auto const sees = [&](auto const& entry) {
-            return entry.first == name || sees_as_lost(entry.second, name);
+            return entry.first == name || considers_lost(entry.second, name);
         };
         auto const one_sees = [&](auto const& entry) {
-            return entry.first != name && sees_as_lost(entry.second, name);
+            return entry.first != name && considers_lost(entry.second, name);
         };
         fleet->crash(name);
         auto const& observers = fleet->hosts();
@@ -157,9 +159,10 @@
         fleet->run_for(between_trials);
     }
     auto const setting = fmt::format("heartbeat {} ms", heartbeat.count());
-    add_spread(
+    add_median_and_max(
         figures, {"detection", hosts, setting, "first knows", 0, "s"}, first);
-    add_spread(figures, {"detection", hosts, setting, "all know", 0, "s"}, all);
+    add_median_and_max(
+        figures, {"detection", hosts, setting, "all know", 0, "s"}, all);
 }
 
 void measure_in_force(std::size_t hosts,
@@ -176,7 +179,7 @@
     }
     auto const setting =
         fmt::format("{} teams{}", options.teams, to_string(fault));
-    add_spread(
+    add_median_and_max(
         figures, {"in force", hosts, setting, "on all hosts", 0, "s"}, times);
 }
 
--- a/bench/fleet_bench/virtual_fleet.cpp
+++ b/bench/fleet_bench/virtual_fleet.cpp
@@ -9,21 +9,21 @@
 namespace caperjunction::bench {
 namespace {
 
-// The wall clock's time at the virtual fleet's beginning; any will do.
+// Wall clock time at the start of the virtual time; the value is arbitrary.
 constexpr std::chrono::hours wall_clock_start{500'000};
 
-std::string words_after(std::string const& body, std::string const& word)
+std::string text_after(std::string const& body, std::string const& word)
 {
-    auto const place = body.find(word);
-    if (place == std::string::npos) {
+    auto const position = body.find(word);
+    if (position == std::string::npos) {
         return {};
     }
-    return body.substr(place + word.size());
+    return body.substr(position + word.size());
 }
 
 } // namespace
 
-std::vector<lists::fault> check_by_words(fleet::value_bodies const& bodies)
+std::vector<lists::fault> check_by_keywords(fleet::value_bodies const& bodies)
 {
     for (std::string const* body :
          {bodies.plans, bodies.entitlements, bodies.hosts, bodies.upstreams}) {
@@ -33,8 +33,8 @@
     }
     bool const pair = bodies.plans != nullptr && bodies.entitlements != nullptr;
     if (pair
-        && words_after(*bodies.plans, "pair")
-               != words_after(*bodies.entitlements, "pair")) {
+        && text_after(*bodies.plans, "pair")
+               != text_after(*bodies.entitlements, "pair")) {
         return {{"value", "/", "no pair", "publish the other list"}};
     }
     return {};
@@ -45,7 +45,7 @@
     , m_random(m_settings.seed)
 {
     if (!m_settings.agent.configuration.check) {
-        m_settings.agent.configuration.check = check_by_words;
+        m_settings.agent.configuration.check = check_by_keywords;
     }
 }
 
@@ -82,7 +82,7 @@
     m_service.publish(
         value,
         {m_revision, std::make_shared<std::string const>(std::move(body))});
-    serve_waiting();
+    serve_pending_watches();
 }
 
 void virtual_fleet::start(std::string const& name)
@@ -90,18 +90,18 @@
     virtual_host& started = m_hosts.at(name);
     ++started.process;
     started.paused = false;
-    started.held.clear();
-    started.connected.clear();
-    fleet::agent_settings own = m_settings.agent;
-    own.membership.self = started.host;
+    started.deferred_events.clear();
+    started.connected_processes.clear();
+    fleet::agent_settings host_settings = m_settings.agent;
+    host_settings.membership.self = started.host;
     auto const wall = std::chrono::system_clock::time_point(
         wall_clock_start
         + std::chrono::duration_cast<std::chrono::milliseconds>(
             m_now.time_since_epoch()));
-    own.membership.generation =
+    host_settings.membership.generation =
         fleet::make_generation(wall, static_cast<std::uint32_t>(m_random()));
-    own.configuration.seed = m_random();
-    started.agent = std::make_unique<fleet::agent>(own);
+    host_settings.configuration.seed = m_random();
+    started.agent = std::make_unique<fleet::agent>(host_settings);
     std::uniform_int_distribution<std::int64_t> phase(
         0, m_settings.tick.count() - 1);
     auto const process = started.process;
@@ -126,12 +126,12 @@
 {
     virtual_host& ended = m_hosts.at(name);
     ended.agent.reset();
-    ended.held.clear();
+    ended.deferred_events.clear();
 }
 
 void virtual_fleet::leave(std::string const& name)
 {
-    give(m_hosts.at(name), fleet::stop_planned{});
+    handle_event(m_hosts.at(name), fleet::stop_planned{});
 }
 
 void virtual_fleet::pause(std::string const& name)
@@ -141,11 +141,11 @@
 
 void virtual_fleet::resume(std::string const& name)
 {
-    virtual_host& woken = m_hosts.at(name);
-    woken.paused = false;
-    auto const held = std::exchange(woken.held, {});
-    for (fleet::agent_event const& event : held) {
-        give(woken, event);
+    virtual_host& target = m_hosts.at(name);
+    target.paused = false;
+    auto const deferred = std::exchange(target.deferred_events, {});
+    for (fleet::agent_event const& event : deferred) {
+        handle_event(target, event);
     }
 }
 
@@ -157,8 +157,8 @@
 void virtual_fleet::heal(std::string const& from, std::string const& to)
 {
     m_cuts.erase({from, to});
-    // The connection broke meanwhile; the next message makes a new one.
-    m_hosts.at(from).connected.erase(to);
+    // The cut closed the connection; the next message opens a new one.
+    m_hosts.at(from).connected_processes.erase(to);
 }
 
 void virtual_fleet::heal_all()
@@ -187,12 +187,12 @@
 
 void virtual_fleet::tick(std::string const& name, std::uint64_t process)
 {
-    virtual_host& woken = m_hosts.at(name);
-    if (woken.process != process || woken.agent == nullptr) {
+    virtual_host& target = m_hosts.at(name);
+    if (target.process != process || target.agent == nullptr) {
         return;
     }
-    if (!woken.paused) {
-        give(woken, fleet::agent_tick{});
+    if (!target.paused) {
+        handle_event(target, fleet::agent_tick{});
     }
     at(m_now + m_settings.tick, [this, name, process] {
         tick(name, process);
@@ -206,9 +206,9 @@
         return;
     }
     if (!made.paused) {
-        give(made,
-             fleet::digest_updated{
-                 std::vector<std::uint8_t>(m_settings.digest_bytes, 1)});
+        handle_event(made,
+                     fleet::digest_updated{std::vector<std::uint8_t>(
+                         m_settings.digest_bytes, 1)});
     }
     at(m_now + m_settings.digest_period, [this, name, process] {
         make_digest(name, process);
--- a/bench/fleet_bench/virtual_fleet.hpp
+++ b/bench/fleet_bench/virtual_fleet.hpp
@@ -19,24 +19,27 @@
 
 struct virtual_fleet_settings
 {
-    /// Copied for each host; names, regions and seeds are filled in.
+    /// Template for each host; names, regions and seeds are filled in.
     fleet::agent_settings agent;
     model::milliseconds latency_in_region{1};
     model::milliseconds latency_across{30};
-    /// Between the service and a host.
+    /// Latency between the service and a host.
     model::milliseconds service_latency{5};
-    /// How often each host is woken.
+    /// Interval between ticks of a host.
     model::milliseconds tick{100};
     std::uint64_t seed = 1;
-    /// Bytes of a message on the wire; unset counts none.
+    /// Returns the encoded size of a message in bytes. If unset, bytes are not
+    /// counted.
     std::function<std::size_t(fleet::peer_message const&)> size_of;
-    /// Period and size of the load digests; size 0 sends none.
+    /// Period and size of the load digests; no digests are sent if the size
+    /// is 0.
     model::milliseconds digest_period{500};
     std::size_t digest_bytes = 0;
 };
 
-/// Many real agents in one process and in virtual time, on links that behave
-/// as TCP: in order, held while the far end is paused, lost when cut.
+/// Many production agents in one process and in virtual time. Links behave like
+/// TCP connections: messages arrive in order, wait while the receiver is
+/// paused, and are lost if the link is cut.
 ///
 /// Thread safety: none.
 class virtual_fleet
@@ -44,7 +47,7 @@
 public:
     explicit virtual_fleet(virtual_fleet_settings settings);
 
-    /// Lists a host; the list is published with the next `publish_hosts`.
+    /// Adds a host to the list. `publish_hosts` publishes the list.
     void add_host(std::string const& name, std::string const& region);
     void unlist_host(std::string const& name);
     void publish_hosts();
@@ -52,19 +55,19 @@
 
     void start(std::string const& name);
     void start_all();
-    /// The process ends without a word.
+    /// Ends the process without notice.
     void crash(std::string const& name);
-    /// As a planned stop begins.
+    /// Starts a planned stop.
     void leave(std::string const& name);
     void pause(std::string const& name);
     void resume(std::string const& name);
-    /// Cuts messages from one host to the other, in this direction only.
+    /// Drops messages from one host to the other, in this direction only.
     void cut(std::string const& from, std::string const& to);
     void heal(std::string const& from, std::string const& to);
     void heal_all();
 
-    /// Gives one host an event of its own.
-    void tell(std::string const& name, fleet::agent_event const& event);
+    /// Passes an event directly to one host.
+    void inject_event(std::string const& name, fleet::agent_event const& event);
 
     void run_for(model::milliseconds time);
 
@@ -104,18 +107,18 @@
     void at(model::time_point when, action run);
     void tick(std::string const& name, std::uint64_t process);
     void make_digest(std::string const& name, std::uint64_t process);
-    void give(virtual_host& to, fleet::agent_event const& event);
-    void take(virtual_host& from, fleet::agent_output const& output);
-    void carry(virtual_host& from, fleet::send_message const& sent);
+    void handle_event(virtual_host& to, fleet::agent_event const& event);
+    void execute(virtual_host& from, fleet::agent_output const& output);
+    void send(virtual_host& from, fleet::send_message const& sent);
     void deliver(std::string const& from,
                  std::string const& to,
                  std::uint64_t process,
                  fleet::peer_message const& message);
     void open_watch(virtual_host& from, fleet::watch_value const& watch);
-    void serve_watch(virtual_service::waiting const& waiting);
-    void answer(virtual_service::waiting const& waiting,
+    void serve_watch(virtual_service::pending_watch const& pending);
+    void answer(virtual_service::pending_watch const& pending,
                 fleet::agent_event const& event);
-    void serve_waiting();
+    void serve_pending_watches();
     model::milliseconds latency(std::string const& from,
                                 std::string const& to) const;
 
@@ -126,7 +129,7 @@
     std::map<std::string, virtual_host> m_hosts;
     std::set<std::string> m_listed;
     std::set<std::pair<std::string, std::string>> m_cuts;
-    /// Keeps messages on one connection in order.
+    /// Latest arrival per connection; keeps its messages in order.
     std::map<std::pair<std::string, std::string>, model::time_point> m_arrivals;
     std::map<std::uint64_t, model::host_list> m_lists;
     std::vector<observed_change> m_changes;
@@ -134,9 +137,10 @@
     std::uint64_t m_revision = 0;
 };
 
-/// Faults of a body are the word "bad" in it; the two lists check together
-/// if the text after "pair" is equal in both. For tests and the bench.
-std::vector<lists::fault> check_by_words(fleet::value_bodies const& bodies);
+/// Reports a fault for each body that contains "bad", and a mismatch if the
+/// text after "pair" differs between plans and entitlements. For tests and
+/// benchmarks.
+std::vector<lists::fault> check_by_keywords(fleet::value_bodies const& bodies);
 
 } // namespace caperjunction::bench
 
--- a/bench/fleet_bench/virtual_host.hpp
+++ b/bench/fleet_bench/virtual_host.hpp
@@ -15,29 +15,29 @@
 
 namespace caperjunction::bench {
 
-/// Something that one host told of another, and when.
+/// A change of one host that another host reported, and when.
 struct observed_change
 {
     model::time_point at{};
     std::string observer;
-    fleet::host_changed told;
+    fleet::host_changed event;
 };
 
-/// One host of the virtual fleet, and what was seen of it.
+/// One host of the virtual fleet and its counters.
 struct virtual_host
 {
     model::host host;
     /// Null while the process is not running.
     std::unique_ptr<fleet::agent> agent;
-    /// Counts the starts.
+    /// Number of starts; identifies the process.
     std::uint64_t process = 0;
     bool paused = false;
-    /// What came in while it was paused.
-    std::vector<fleet::agent_event> held;
-    /// Peers whose process a connection has been made to.
-    std::map<std::string, std::uint64_t> connected;
+    /// Events that arrived during a pause.
+    std::vector<fleet::agent_event> deferred_events;
+    /// Process of each peer that the current connection leads to.
+    std::map<std::string, std::uint64_t> connected_processes;
 
-    /// Revisions in force and when each came into force, by value.
+    /// Revisions that were in force and their start times, by value.
     std::array<std::vector<std::pair<std::uint64_t, model::time_point>>,
                fleet::published_value_count>
         in_force;
@@ -45,7 +45,7 @@
     std::uint64_t messages_sent = 0;
     std::uint64_t bytes_sent = 0;
     std::uint64_t bytes_received = 0;
-    /// Bytes sent by index of the message's type.
+    /// Bytes sent by message type index.
     std::map<std::size_t, std::uint64_t> bytes_by_type;
 };
 
--- a/bench/fleet_bench/virtual_links.cpp
+++ b/bench/fleet_bench/virtual_links.cpp
@@ -6,58 +6,62 @@
 
 namespace caperjunction::bench {
 
-void virtual_fleet::tell(std::string const& name,
-                         fleet::agent_event const& event)
+void virtual_fleet::inject_event(std::string const& name,
+                                 fleet::agent_event const& event)
 {
-    give(m_hosts.at(name), event);
+    handle_event(m_hosts.at(name), event);
 }
 
-void virtual_fleet::give(virtual_host& to, fleet::agent_event const& event)
+void virtual_fleet::handle_event(virtual_host& to,
+                                 fleet::agent_event const& event)
 {
     if (to.agent == nullptr) {
         return;
     }
     if (to.paused) {
-        to.held.push_back(event);
+        to.deferred_events.push_back(event);
         return;
     }
     std::vector<fleet::agent_output> out;
     to.agent->handle(event, m_now, out);
     for (fleet::agent_output const& output : out) {
-        take(to, output);
+        execute(to, output);
     }
 }
 
-void virtual_fleet::take(virtual_host& from, fleet::agent_output const& output)
+void virtual_fleet::execute(virtual_host& from,
+                            fleet::agent_output const& output)
 {
-    auto const note = [&](fleet::published_value value,
-                          fleet::checked_value const& checked) {
+    auto const record = [&](fleet::published_value value,
+                            fleet::checked_value const& checked) {
         from.in_force[fleet::index_of(value)].emplace_back(checked.revision,
                                                            m_now);
     };
     if (auto const* sent = std::get_if<fleet::send_message>(&output)) {
-        carry(from, *sent);
+        send(from, *sent);
     } else if (auto const* watch = std::get_if<fleet::watch_value>(&output)) {
         open_watch(from, *watch);
     } else if (auto const* pair = std::get_if<fleet::lists_in_force>(&output)) {
-        note(fleet::published_value::plans, pair->plans);
-        note(fleet::published_value::entitlements, pair->entitlements);
+        record(fleet::published_value::plans, pair->plans);
+        record(fleet::published_value::entitlements, pair->entitlements);
     } else if (auto const* one = std::get_if<fleet::value_in_force>(&output)) {
-        note(one->value, one->checked);
+        record(one->value, one->checked);
         if (one->value == fleet::published_value::hosts) {
-            give(from, fleet::hosts_listed{m_lists.at(one->checked.revision)});
+            handle_event(
+                from, fleet::hosts_listed{m_lists.at(one->checked.revision)});
         }
-    } else if (auto const* told = std::get_if<fleet::host_changed>(&output)) {
-        m_changes.push_back({m_now, from.host.name, *told});
+    } else if (auto const* changed =
+                   std::get_if<fleet::host_changed>(&output)) {
+        m_changes.push_back({m_now, from.host.name, *changed});
     } else if (auto const* bad = std::get_if<fleet::value_refused>(&output)) {
         from.refused.push_back(*bad);
     }
 }
 
-void virtual_fleet::carry(virtual_host& from, fleet::send_message const& sent)
+void virtual_fleet::send(virtual_host& from, fleet::send_message const& sent)
 {
-    auto const place = m_hosts.find(sent.to);
-    if (place == m_hosts.end()) {
+    auto const found = m_hosts.find(sent.to);
+    if (found == m_hosts.end()) {
         return;
     }
     std::string const& name = from.host.name;
@@ -67,22 +71,22 @@
         from.bytes_sent += size;
         from.bytes_by_type[sent.message.index()] += size;
     }
-    if (m_cuts.count({name, sent.to}) != 0 || place->second.agent == nullptr) {
-        from.connected.erase(sent.to);
+    if (m_cuts.count({name, sent.to}) != 0 || found->second.agent == nullptr) {
+        from.connected_processes.erase(sent.to);
         return;
     }
     auto arrival = m_now + latency(name, sent.to);
-    std::uint64_t const process = place->second.process;
-    auto const known = from.connected.find(sent.to);
-    if (known == from.connected.end() || known->second != process) {
-        // A new connection costs a round trip, and its owner is told.
-        from.connected[sent.to] = process;
+    std::uint64_t const process = found->second.process;
+    auto const known = from.connected_processes.find(sent.to);
+    if (known == from.connected_processes.end() || known->second != process) {
+        // A new connection takes one round trip; its owner then gets `link_up`.
+        from.connected_processes[sent.to] = process;
         arrival += 2 * latency(name, sent.to);
         at(m_now + 2 * latency(name, sent.to),
-           [this, name, own = from.process, to = sent.to] {
+           [this, name, sender_process = from.process, to = sent.to] {
                virtual_host& owner = m_hosts.at(name);
-               if (owner.process == own) {
-                   give(owner, fleet::link_up{to});
+               if (owner.process == sender_process) {
+                   handle_event(owner, fleet::link_up{to});
                }
            });
     }
@@ -107,7 +111,7 @@
     if (m_settings.size_of) {
         receiver.bytes_received += m_settings.size_of(message);
     }
-    give(receiver, fleet::message_received{from, message});
+    handle_event(receiver, fleet::message_received{from, message});
 }
 
 model::milliseconds virtual_fleet::latency(std::string const& from,
@@ -122,62 +126,63 @@
                                fleet::watch_value const& watch)
 {
     ++m_service.calls;
-    virtual_service::waiting const asked{from.host.name, from.process, watch};
-    at(m_now + m_settings.service_latency, [this, asked] {
-        serve_watch(asked);
+    virtual_service::pending_watch const pending{
+        from.host.name, from.process, watch};
+    at(m_now + m_settings.service_latency, [this, pending] {
+        serve_watch(pending);
     });
 }
 
-void virtual_fleet::serve_watch(virtual_service::waiting const& waiting)
+void virtual_fleet::serve_watch(virtual_service::pending_watch const& pending)
 {
-    auto const& held = m_service.read(waiting.watch.value);
+    auto const& current = m_service.read(pending.watch.value);
     if (m_service.down()
-        || m_service.unreachable_from.count(waiting.host) != 0) {
-        answer(waiting, fleet::read_ended{waiting.watch.value, true});
-    } else if (held.revision > waiting.watch.after
-               || (m_service.answers_lower
-                   && held.revision < waiting.watch.after)) {
-        answer(
-            waiting,
-            fleet::value_read{waiting.watch.value, held.revision, held.body});
-    } else if (waiting.watch.wait.count() == 0) {
-        answer(waiting, fleet::read_ended{waiting.watch.value, false});
+        || m_service.unreachable_from.count(pending.host) != 0) {
+        answer(pending, fleet::read_ended{pending.watch.value, true});
+    } else if (current.revision > pending.watch.after
+               || (m_service.returns_lower_revision
+                   && current.revision < pending.watch.after)) {
+        answer(pending,
+               fleet::value_read{
+                   pending.watch.value, current.revision, current.body});
+    } else if (pending.watch.wait.count() == 0) {
+        answer(pending, fleet::read_ended{pending.watch.value, false});
     } else {
-        auto shorter = waiting;
+        auto shorter = pending;
         shorter.watch.wait = model::milliseconds(0);
-        m_service.watches().push_back(waiting);
-        at(m_now + waiting.watch.wait, [this, shorter] {
+        m_service.watches().push_back(pending);
+        at(m_now + pending.watch.wait, [this, shorter] {
             auto& open = m_service.watches();
-            auto const place =
+            auto const found =
                 std::find_if(open.begin(), open.end(), [&](auto const& each) {
                     return each.host == shorter.host
                            && each.process == shorter.process
                            && each.watch.value == shorter.watch.value
                            && each.watch.after == shorter.watch.after;
                 });
-            if (place != open.end()) {
-                open.erase(place);
+            if (found != open.end()) {
+                open.erase(found);
                 serve_watch(shorter);
             }
         });
     }
 }
 
-void virtual_fleet::serve_waiting()
+void virtual_fleet::serve_pending_watches()
 {
     auto const open = std::exchange(m_service.watches(), {});
-    for (virtual_service::waiting const& waiting : open) {
-        serve_watch(waiting);
+    for (virtual_service::pending_watch const& pending : open) {
+        serve_watch(pending);
     }
 }
 
-void virtual_fleet::answer(virtual_service::waiting const& waiting,
+void virtual_fleet::answer(virtual_service::pending_watch const& pending,
                            fleet::agent_event const& event)
 {
-    at(m_now + m_settings.service_latency, [this, waiting, event] {
-        virtual_host& asker = m_hosts.at(waiting.host);
-        if (asker.process == waiting.process) {
-            give(asker, event);
+    at(m_now + m_settings.service_latency, [this, pending, event] {
+        virtual_host& asker = m_hosts.at(pending.host);
+        if (asker.process == pending.process) {
+            handle_event(asker, event);
         }
     });
 }
--- a/bench/fleet_bench/virtual_service.hpp
+++ b/bench/fleet_bench/virtual_service.hpp
@@ -12,16 +12,17 @@
 
 namespace caperjunction::bench {
 
-/// The platform's service as the fleet sees it: values with revisions that
-/// can be watched. It may be down, or answer with what it held earlier.
+/// The platform's service as seen by the fleet: values with revisions that can
+/// be watched. It can be unavailable or return outdated values.
 class virtual_service
 {
 public:
-    /// A watch that waits, and whose it is.
-    struct waiting
+    /// A watch that waits for a change.
+    struct pending_watch
     {
         std::string host;
-        /// Tells a restarted host's watches from the last process's.
+        /// Distinguishes the watches of a restarted host from those of its
+        /// previous process.
         std::uint64_t process = 0;
         fleet::watch_value watch;
     };
@@ -31,14 +32,14 @@
         m_current[fleet::index_of(value)] = std::move(published);
     }
 
-    /// From now on it answers with what it holds now.
+    /// Returns the current values until `thaw`, despite later changes.
     void freeze()
     {
         m_frozen = m_current;
         m_stale = true;
     }
 
-    /// Answers again with what it held at the last `freeze`.
+    /// Returns the values of the last `freeze` again.
     void restore_frozen()
     {
         m_stale = true;
@@ -65,23 +66,24 @@
         return values[fleet::index_of(value)];
     }
 
-    std::vector<waiting>& watches()
+    std::vector<pending_watch>& watches()
     {
         return m_watches;
     }
 
-    /// Whether a watch after a revision that it doesn't hold is answered at
-    /// once, with a lower one; it waits otherwise.
-    bool answers_lower = false;
-    /// Hosts that can't reach it.
+    /// Whether a watch for changes after a revision newer than the service's
+    /// own is answered immediately with the lower revision. Otherwise it
+    /// waits.
+    bool returns_lower_revision = false;
+    /// Hosts that cannot reach the service.
     std::set<std::string> unreachable_from;
-    /// Calls so far; a waiting watch counts once.
+    /// Number of calls; a pending watch counts once.
     std::uint64_t calls = 0;
 
 private:
     std::array<fleet::checked_value, fleet::published_value_count> m_current;
     std::array<fleet::checked_value, fleet::published_value_count> m_frozen;
-    std::vector<waiting> m_watches;
+    std::vector<pending_watch> m_watches;
     bool m_stale = false;
     bool m_down = false;
 };
--- a/tests/fleet/configuration_test.cpp
+++ b/tests/fleet/configuration_test.cpp
@@ -118,7 +118,7 @@
     fleet->start("a2");
     model::host_list seeds;
     seeds.members = {fleet->host("b1").host, fleet->host("b2").host};
-    fleet->tell("a2", fleet::hosts_listed{seeds});
+    fleet->inject_event("a2", fleet::hosts_listed{seeds});
     CHECK_FALSE(fleet->host("a2").agent->ready());
     fleet->run_for(10s);
     CHECK(fleet->host("a2").agent->ready());
@@ -208,7 +208,7 @@
     fleet->publish(published_value::plans, "plans eight pair 1");
     fleet->run_for(5s);
     fleet->service().restore_frozen();
-    fleet->service().answers_lower = true;
+    fleet->service().returns_lower_revision = true;
     fleet->publish(published_value::upstreams, "upstreams 3");
     auto const calls = fleet->service().calls;
     fleet->run_for(100s);
@@ -241,7 +241,7 @@
     fleet::configuration_settings settings;
     settings.host = "a1";
     settings.region = "a";
-    settings.check = bench::check_by_words;
+    settings.check = bench::check_by_keywords;
     fleet::configuration values(settings);
     std::vector<fleet::agent_output> out;
     model::time_point const now{std::chrono::hours(1)};
--- a/tests/fleet/fleet_fixture.hpp
+++ b/tests/fleet/fleet_fixture.hpp
@@ -48,8 +48,8 @@
 {
     std::size_t count = 0;
     for (bench::observed_change const& seen : fleet.changes()) {
-        bool const lost = seen.told.change == fleet::host_change::lost;
-        count += lost && seen.told.host == name ? 1 : 0;
+        bool const lost = seen.event.change == fleet::host_change::lost;
+        count += lost && seen.event.host == name ? 1 : 0;
     }
     return count;
 }
--- a/tests/fleet/worth_test.cpp
+++ b/tests/fleet/worth_test.cpp
@@ -65,8 +65,8 @@
 TEST_CASE("without the refresh a host acts by its old view after a pause")
 {
     std::vector<figure> figures;
-    bench::measure_wake(7, true, few(), figures);
-    bench::measure_wake(7, false, few(), figures);
+    bench::measure_resume(7, true, few(), figures);
+    bench::measure_resume(7, false, few(), figures);
     std::string const acts = "sleeper acts with a dead host live";
     CHECK(value_of(figures, acts, "") == 0.0);
     CHECK(value_of(figures, acts, "no refresh") > 1.0);
