--- a/bench/relay_bench/bench_site.cpp
+++ b/bench/relay_bench/bench_site.cpp
@@ -13,9 +13,9 @@
 namespace caperjunction::relay_bench {
 namespace {
 
-constexpr char const* local = "127.0.0.1";
+constexpr char const* loopback = "127.0.0.1";
 
-bool answers_ready(model::endpoint const& admin)
+bool is_ready(model::endpoint const& admin)
 {
     runtime::event_loop loop;
     net::upstream_client client(loop, {});
@@ -38,9 +38,9 @@
 
 void wait_until_ready(model::endpoint const& admin)
 {
-    constexpr int tries = 500;
-    for (int done = 0; done < tries; ++done) {
-        if (answers_ready(admin)) {
+    constexpr int max_attempts = 500;
+    for (int attempt = 0; attempt < max_attempts; ++attempt) {
+        if (is_ready(admin)) {
             return;
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -54,11 +54,11 @@
 {
     std::string name = "/tmp/caperjunction-bench-XXXXXX";
     if (mkdtemp(name.data()) == nullptr) {
-        throw std::runtime_error("no folder for the lists could be made");
+        throw std::runtime_error("cannot create a folder for the lists");
     }
     m_folder = name;
     std::vector<stand_ins::site_member> listed;
-    for (std::size_t place = 0; place < speed.engines; ++place) {
+    for (std::size_t index = 0; index < speed.engines; ++index) {
         m_engines.push_back(std::make_unique<stand_ins::child_process>(
             folder + "/stand_in",
             std::vector<std::string>{
@@ -68,9 +68,10 @@
                 fmt::format("--tokens_per_second={}", speed.tokens_per_second),
                 fmt::format("--first_token_ms={}", speed.first_token_ms),
                 fmt::format("--burst_events={}", speed.burst_events)}));
-        m_engine_addresses.push_back({local, m_engines.back()->port("port")});
+        m_engine_addresses.push_back(
+            {loopback, m_engines.back()->port("port")});
         listed.push_back(
-            {fmt::format("engine-{}", place), m_engine_addresses.back(), {}});
+            {fmt::format("engine-{}", index), m_engine_addresses.back(), {}});
     }
     m_platform = std::make_unique<stand_ins::child_process>(
         folder + "/stand_in",
@@ -93,8 +94,8 @@
             "--listen=127.0.0.1:0",
             "--admin_listen=127.0.0.1:0",
             fmt::format("--platform=127.0.0.1:{}", m_platform->port("port"))});
-    m_router_address = {local, m_router->port("callers_port")};
-    wait_until_ready({local, m_router->port("admin_port")});
+    m_router_address = {loopback, m_router->port("callers_port")};
+    wait_until_ready({loopback, m_router->port("admin_port")});
 }
 
 bench_site::~bench_site()
--- a/bench/relay_bench/bench_site.hpp
+++ b/bench/relay_bench/bench_site.hpp
@@ -11,7 +11,7 @@
 
 namespace caperjunction::relay_bench {
 
-/// How the engine stand-in behind the router answers.
+/// Behaviour and number of the engine stand-ins behind the router.
 struct engine_speed
 {
     double tokens_per_second = 0.0;
@@ -20,8 +20,8 @@
     std::size_t engines = 1;
 };
 
-/// Engine and platform stand-ins and one router, as processes of their own,
-/// so that each one's processor time and memory can be told apart.
+/// Runs engine and platform stand-ins and one router as separate processes, so
+/// that the processor time and memory of each can be measured separately.
 ///
 /// Thread safety: none.
 class bench_site
--- a/bench/relay_bench/main.cpp
+++ b/bench/relay_bench/main.cpp
@@ -34,14 +34,15 @@
 
 } // namespace
 
-int main(int count, char** words)
+int main(int argc, char** argv)
 {
     absl::SetProgramUsageMessage(
-        "measures the relay: router against direct, to the same stand-in");
-    absl::ParseCommandLine(count, words);
+        "Measures the relay: through the router and directly, to the same "
+        "stand-in.");
+    absl::ParseCommandLine(argc, argv);
     std::string const format = absl::GetFlag(FLAGS_format);
     if (format != "table" && format != "json") {
-        fmt::print(stderr, "--format is neither; choose table or json\n");
+        fmt::print(stderr, "unknown --format; use table or json\n");
         return 2;
     }
     auto const folder =
--- a/bench/relay_bench/measure.hpp
+++ b/bench/relay_bench/measure.hpp
@@ -6,7 +6,7 @@
 
 namespace caperjunction::relay_bench {
 
-/// All figures of one run.
+/// All measurements of one run.
 struct figures
 {
     double added_first_token_p50_ms = 0.0;
@@ -19,7 +19,7 @@
     std::uint64_t failed = 0;
 };
 
-/// Runs every measurement with the programs in `folder`.
+/// Runs all measurements with the programs in `folder`.
 figures measure(std::string const& folder);
 
 } // namespace caperjunction::relay_bench
--- a/bench/relay_bench/crowd.cpp
+++ b/bench/relay_bench/stream_load.cpp
@@ -1,4 +1,4 @@
-#include "bench/relay_bench/crowd.hpp"
+#include "bench/relay_bench/stream_load.hpp"
 
 #include "net/upstream_client.hpp"
 #include "stand_ins/site_lists.hpp"
@@ -13,56 +13,58 @@
 
 using clock = std::chrono::steady_clock;
 
-/// One stream, while it runs.
-struct one_stream
+/// State of a running stream.
+struct client_stream
 {
     clock::time_point started;
-    bool begun = false;
-    /// The bytes since the last whole line.
-    std::string rest;
+    bool has_first_byte = false;
+    /// Bytes after the last complete event.
+    std::string unparsed;
     std::uint64_t next_token = 0;
 };
 
-/// Reads the token numbers out of the stand-in's texts: "t17-...".
-void count_tokens(one_stream& own, std::string_view bytes, crowd_result& result)
+/// Extracts the token numbers from the texts of the stand-in: "t17-...".
+void count_tokens(client_stream& stream,
+                  std::string_view bytes,
+                  load_result& result)
 {
-    constexpr std::string_view mark = "\"content\":\"t";
-    own.rest.append(bytes);
+    constexpr std::string_view prefix = "\"content\":\"t";
+    stream.unparsed.append(bytes);
     std::size_t start = 0;
-    for (std::size_t end = own.rest.find("\n\n", start);
+    for (std::size_t end = stream.unparsed.find("\n\n", start);
          end != std::string::npos;
-         end = own.rest.find("\n\n", start)) {
-        std::size_t const found = own.rest.find(mark, start);
+         end = stream.unparsed.find("\n\n", start)) {
+        std::size_t const found = stream.unparsed.find(prefix, start);
         if (found < end) {
-            std::uint64_t const number =
-                std::strtoull(&own.rest[found + mark.size()], nullptr, 10);
+            std::uint64_t const number = std::strtoull(
+                &stream.unparsed[found + prefix.size()], nullptr, 10);
             result.lost +=
-                number > own.next_token ? number - own.next_token : 0;
-            result.duplicated += number < own.next_token ? 1 : 0;
-            own.next_token = std::max(own.next_token, number + 1);
+                number > stream.next_token ? number - stream.next_token : 0;
+            result.duplicated += number < stream.next_token ? 1 : 0;
+            stream.next_token = std::max(stream.next_token, number + 1);
             ++result.events;
         }
         start = end + 2;
     }
-    own.rest.erase(0, start);
+    stream.unparsed.erase(0, start);
 }
 
-class crowd
+class load_generator
 {
 public:
-    crowd(runtime::event_loop& loop, crowd_plan const& plan)
+    load_generator(runtime::event_loop& loop, load_plan const& plan)
         : m_loop(loop)
         , m_plan(plan)
-        , m_client(loop, patient())
+        , m_client(loop, long_timeouts())
     {
     }
 
-    crowd_result run()
+    load_result run()
     {
         using std::chrono::duration_cast;
-        for (std::size_t place = 0; place < m_plan.streams; ++place) {
+        for (std::size_t index = 0; index < m_plan.streams; ++index) {
             m_loop.after(
-                duration_cast<model::milliseconds>(place * m_plan.stagger),
+                duration_cast<model::milliseconds>(index * m_plan.stagger),
                 [this] {
                     start();
                 });
@@ -72,7 +74,7 @@
     }
 
 private:
-    static net::upstream_timeouts patient()
+    static net::upstream_timeouts long_timeouts()
     {
         net::upstream_timeouts timeouts;
         timeouts.connect = model::milliseconds(10'000);
@@ -103,36 +105,36 @@
         }
         net::upstream_call const call = make_call();
         ++m_started;
-        auto const own = std::make_shared<one_stream>();
-        own->started = clock::now();
+        auto const stream = std::make_shared<client_stream>();
+        stream->started = clock::now();
         m_client.start(call,
                        {[](net::call_head const& /*head*/) {},
-                        [this, own](std::string_view bytes) {
-                            take(*own, bytes);
+                        [this, stream](std::string_view bytes) {
+                            handle_bytes(*stream, bytes);
                         },
-                        [this, own](net::call_end end) {
-                            finish(*own, end);
+                        [this, stream](net::call_end end) {
+                            finish(*stream, end);
                         }});
     }
 
-    void take(one_stream& own, std::string_view bytes)
+    void handle_bytes(client_stream& stream, std::string_view bytes)
     {
-        if (!own.begun) {
-            own.begun = true;
+        if (!stream.has_first_byte) {
+            stream.has_first_byte = true;
             std::chrono::duration<double, std::milli> const wait =
-                clock::now() - own.started;
+                clock::now() - stream.started;
             m_result.first_byte_ms.push_back(wait.count());
         }
-        count_tokens(own, bytes, m_result);
+        count_tokens(stream, bytes, m_result);
     }
 
-    void finish(one_stream const& own, net::call_end end)
+    void finish(client_stream const& stream, net::call_end end)
     {
-        auto const wanted = static_cast<std::uint64_t>(m_plan.tokens);
-        bool const sound =
-            end == net::call_end::complete && own.next_token == wanted;
-        m_result.failed += sound ? 0 : 1;
-        m_result.lost += wanted - std::min(wanted, own.next_token);
+        auto const expected = static_cast<std::uint64_t>(m_plan.tokens);
+        bool const is_complete =
+            end == net::call_end::complete && stream.next_token == expected;
+        m_result.failed += is_complete ? 0 : 1;
+        m_result.lost += expected - std::min(expected, stream.next_token);
         ++m_ended;
         if (m_ended >= m_plan.total) {
             m_loop.stop();
@@ -142,18 +144,18 @@
     }
 
     runtime::event_loop& m_loop;
-    crowd_plan m_plan;
+    load_plan m_plan;
     net::upstream_client m_client;
-    crowd_result m_result;
+    load_result m_result;
     std::size_t m_started = 0;
     std::size_t m_ended = 0;
 };
 
 } // namespace
 
-crowd_result run_crowd(runtime::event_loop& loop, crowd_plan const& plan)
+load_result run_load(runtime::event_loop& loop, load_plan const& plan)
 {
-    return crowd(loop, plan).run();
+    return load_generator(loop, plan).run();
 }
 
 double quantile(std::vector<double> values, double share)
@@ -161,12 +163,12 @@
     if (values.empty()) {
         return 0.0;
     }
-    auto const place = static_cast<std::size_t>(
+    auto const index = static_cast<std::size_t>(
         share * static_cast<double>(values.size() - 1));
     std::nth_element(values.begin(),
-                     values.begin() + static_cast<std::ptrdiff_t>(place),
+                     values.begin() + static_cast<std::ptrdiff_t>(index),
                      values.end());
-    return values[place];
+    return values[index];
 }
 
 } // namespace caperjunction::relay_bench
--- a/bench/relay_bench/crowd.hpp
+++ b/bench/relay_bench/stream_load.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_BENCH_RELAY_BENCH_CROWD_HPP
-#define CAPERJUNCTION_BENCH_RELAY_BENCH_CROWD_HPP
+#ifndef CAPERJUNCTION_BENCH_RELAY_BENCH_STREAM_LOAD_HPP
+#define CAPERJUNCTION_BENCH_RELAY_BENCH_STREAM_LOAD_HPP
 
 #include "model/endpoint.hpp"
 #include "runtime/event_loop.hpp"
@@ -12,38 +12,40 @@
 
 namespace caperjunction::relay_bench {
 
-/// What a crowd of streams is to look like.
-struct crowd_plan
+/// Parameters of a load of concurrent streams.
+struct load_plan
 {
     model::endpoint to;
     std::size_t streams = 200;
-    /// Streams begun in all; each that ends is followed by another.
+    /// Total number of streams; a new one starts whenever one ends.
     std::size_t total = 1000;
     int tokens = 50;
-    /// Between the starts of the first streams, so that they spread.
+    /// Delay between the starts of the first streams; spreads them in time.
     std::chrono::microseconds stagger{500};
-    /// Sent as Authorization.
+    /// API key, sent in the Authorization header.
     std::string key;
 };
 
-/// What became of it.
-struct crowd_result
+/// Measurements of a load.
+struct load_result
 {
     /// From each stream's start to its first byte, in milliseconds.
     std::vector<double> first_byte_ms;
     std::uint64_t events = 0;
-    /// Tokens that never came, or came twice or out of order.
+    /// Tokens that never arrived, and tokens that arrived twice or out of
+    /// order.
     std::uint64_t lost = 0;
     std::uint64_t duplicated = 0;
     std::uint64_t failed = 0;
 };
 
-/// Runs streams against one address until `total` of them have ended.
+/// Runs streams against one address until `total` streams have ended.
 ///
 /// Thread safety: none; runs the loop.
-crowd_result run_crowd(runtime::event_loop& loop, crowd_plan const& plan);
+load_result run_load(runtime::event_loop& loop, load_plan const& plan);
 
-/// The value below which this share of the values lies; 0 if there is none.
+/// Returns the value below which this share of the values lies; 0 if there are
+/// no values.
 double quantile(std::vector<double> values, double share);
 
 } // namespace caperjunction::relay_bench
