--- a/bench/booking_bench/main.cpp
+++ b/bench/booking_bench/main.cpp
@@ -52,8 +52,8 @@
     return fleet::make_claim_key("customer", fmt::format("key-{}", number));
 }
 
-// One booking through its entry host and all five witnesses: claim, grants,
-// dispatch, end, all in one thread and without a network.
+// Runs one booking through its entry host and all five witnesses: claim,
+// grants, dispatch and end, in one thread and without a network.
 void booking(benchmark::State& state)
 {
     auto const view = make_view(static_cast<std::size_t>(state.range(0)));
@@ -68,14 +68,14 @@
     std::uint64_t number = 0;
     for (auto _ : state) {
         auto const key = key_of(++number);
-        // Ten bookings a second: claims lapse as new ones come.
+        // At ten bookings per second, claims expire while new ones arrive.
         auto const now = start + std::chrono::milliseconds(100 * number);
         fleet::claim_view_confirmed const confirmed{now};
         claimant.handle(confirmed, now, out);
         out.clear();
         claimant.handle(fleet::claim_started{key, 1, number}, now, out);
-        for (std::size_t at = 0; at < out.size(); ++at) {
-            auto const* send = std::get_if<fleet::claim_send>(&out[at]);
+        for (std::size_t index = 0; index < out.size(); ++index) {
+            auto const* send = std::get_if<fleet::claim_send>(&out[index]);
             if (send == nullptr) {
                 claimant.begin_dispatch(key, now);
                 claimant.handle(
@@ -100,7 +100,7 @@
 
 BENCHMARK(booking)->Arg(7)->Arg(28)->Arg(400);
 
-// What a change of the list costs each host.
+// Measures the cost of a host list change on each host.
 void new_list(benchmark::State& state)
 {
     for (auto _ : state) {
@@ -113,14 +113,14 @@
 
 std::size_t resident_bytes()
 {
-    constexpr std::size_t s_page = 4096;
+    constexpr std::size_t s_page_bytes = 4096;
     std::size_t pages = 0;
     std::size_t resident = 0;
     std::ifstream("/proc/self/statm") >> pages >> resident;
-    return resident * s_page;
+    return resident * s_page_bytes;
 }
 
-// Memory of one witness that remembers as many claims as it may.
+// Measures the memory of one witness that stores the maximum number of claims.
 void claim_memory(benchmark::State& state)
 {
     auto const view = make_view(5);
