--- a/bench/core_bench/loaded_router.cpp
+++ b/bench/core_bench/loaded_router.cpp
@@ -11,8 +11,8 @@
 constexpr char const* model_name = "assistant";
 constexpr std::uint32_t slots = 32;
 constexpr std::uint32_t prompt_tokens = 900;
-constexpr std::size_t blocks = 7;
-constexpr std::size_t documents = 64;
+constexpr std::size_t block_count = 7;
+constexpr std::size_t document_count = 64;
 
 double heap_bytes()
 {
@@ -21,8 +21,8 @@
            + static_cast<double>(heap.hblkhd);
 }
 
-// Seven tiers, as at the size in view; targets so far off that nothing is
-// refused while the clock stands still.
+// Seven tiers, as in the largest planned deployment. The targets are so long
+// that nothing is refused while the clock does not advance.
 std::shared_ptr<lists::catalogue const> make_catalogue()
 {
     constexpr std::uint32_t tiers = 7;
@@ -48,9 +48,9 @@
 model::upstream_list make_engines(std::size_t count)
 {
     model::upstream_list made;
-    for (std::size_t place = 0; place < count; ++place) {
+    for (std::size_t index = 0; index < count; ++index) {
         model::engine engine;
-        engine.name = "engine-" + std::to_string(place);
+        engine.name = "engine-" + std::to_string(index);
         engine.region = "region";
         engine.models = {model_name};
         engine.slots = slots;
@@ -76,25 +76,26 @@
 
 void loaded_router::fill()
 {
-    // A third of the slots, or all of them and the queue behind.
-    std::size_t const room = m_size.engines * slots;
-    std::size_t const wanted = m_size.queued == 0 ? room / 3 : room;
-    while (m_running.size() < wanted) {
+    // Without a queue, fills a third of the slots; otherwise all of them and
+    // then the queue.
+    std::size_t const capacity = m_size.engines * slots;
+    std::size_t const target = m_size.queued == 0 ? capacity / 3 : capacity;
+    while (m_running.size() < target) {
         std::size_t const before = m_running.size();
-        arrive();
+        add_request();
         if (m_running.size() == before) {
             break;
         }
     }
     double const before = heap_bytes();
     for (std::size_t left = m_size.queued; left > 0; --left) {
-        arrive();
+        add_request();
     }
     m_queue_bytes = heap_bytes() - before;
     m_dispatches = 0;
 }
 
-void loaded_router::arrive()
+void loaded_router::add_request()
 {
     decide::request made;
     std::uint64_t const number = m_next_id++;
@@ -107,19 +108,19 @@
     made.prompt_tokens = prompt_tokens;
     made.max_output_tokens = 256;
     made.fingerprint = number;
-    std::uint64_t const document = number % documents;
-    for (std::size_t block = 0; block < blocks; ++block) {
+    std::uint64_t const document = number % document_count;
+    for (std::size_t block = 0; block < block_count; ++block) {
         made.prefix_blocks.push_back(document * 1'000'003 + block + 1);
     }
     handle(decide::request_arrived{std::move(made)});
 }
 
-void loaded_router::end_one()
+void loaded_router::complete_request()
 {
     constexpr std::uint64_t stride = 7'919;
-    std::size_t const place = m_next_id * stride % m_running.size();
-    flight const ended = m_running[place];
-    m_running[place] = std::move(m_running.back());
+    std::size_t const index = m_next_id * stride % m_running.size();
+    running_request const ended = m_running[index];
+    m_running[index] = std::move(m_running.back());
     m_running.pop_back();
     handle(decide::attempt_ended{
         ended.id, ended.upstream, decide::attempt_end::complete, 100, 0});
@@ -136,10 +137,10 @@
     return std::exchange(m_dispatches, 0);
 }
 
-void loaded_router::handle(decide::event const& happened)
+void loaded_router::handle(decide::event const& input)
 {
     m_out.clear();
-    m_router.handle(happened, m_now, m_out);
+    m_router.handle(input, m_now, m_out);
     std::vector<decide::decision> const made = std::move(m_out);
     m_out = {};
     for (decide::decision const& one : made) {
--- a/bench/core_bench/loaded_router.hpp
+++ b/bench/core_bench/loaded_router.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_BENCH_LOADED_ROUTER_HPP
-#define CAPERJUNCTION_BENCH_LOADED_ROUTER_HPP
+#ifndef CAPERJUNCTION_BENCH_CORE_BENCH_LOADED_ROUTER_HPP
+#define CAPERJUNCTION_BENCH_CORE_BENCH_LOADED_ROUTER_HPP
 
 #include "decide/router.hpp"
 
@@ -10,17 +10,17 @@
 
 namespace caperjunction::bench {
 
-/// How large the world is that a decision is made in.
+/// Size of the state in which decisions are made.
 struct load_size
 {
     std::size_t engines = 12;
     std::size_t teams = 10;
-    /// Requests that wait; 0 leaves engines with room.
+    /// Queued requests; 0 leaves free slots on the engines.
     std::size_t queued = 0;
 };
 
-/// A router whose engines are full and whose queue has a given length, and
-/// whose time stands still but for ticks.
+/// A router with a given queue length: its engines are full, or a third full if
+/// nothing is queued. Its clock only advances with ticks.
 ///
 /// Thread safety: none.
 class loaded_router
@@ -28,18 +28,18 @@
 public:
     explicit loaded_router(load_size size);
 
-    /// One request more comes.
-    void arrive();
+    /// Adds one request.
+    void add_request();
 
-    /// A running request ends, so that room is free.
-    void end_one();
+    /// Completes a running request, which frees its slot.
+    void complete_request();
 
     void tick();
 
-    /// Dispatches since the last call.
+    /// Returns the number of dispatches since the last call.
     std::size_t take_dispatches();
 
-    /// Heap bytes that the engines took, and the requests in queue.
+    /// Heap bytes of all engines and of all queued requests.
     double engine_bytes() const
     {
         return m_engine_bytes;
@@ -56,20 +56,20 @@
     }
 
 private:
-    struct flight
+    struct running_request
     {
         model::request_id id;
         std::string upstream;
     };
 
-    void handle(decide::event const& happened);
+    void handle(decide::event const& input);
     void fill();
 
     load_size m_size;
     decide::router m_router;
     model::time_point m_now{};
     std::vector<decide::decision> m_out;
-    std::vector<flight> m_running;
+    std::vector<running_request> m_running;
     std::size_t m_dispatches = 0;
     std::uint64_t m_next_id = 1;
     double m_engine_bytes = 0.0;
--- a/bench/core_bench/main.cpp
+++ b/bench/core_bench/main.cpp
@@ -6,26 +6,25 @@
 #include <memory>
 #include <tuple>
 
-// Measures the decision logic alone: what one request costs the router from
-// its arrival to its dispatch, its first token and its end, and what a tick
-// costs, by the number of engines, teams and queued requests. The slopes feed
-// docs/CAPACITY.md.
+// Measures the decision logic alone: the cost of one request from its arrival
+// to its dispatch, first token and end, and the cost of a tick, by the number
+// of engines, teams and queued requests. docs/CAPACITY.md uses the slopes.
 
 namespace {
 
 using caperjunction::bench::load_size;
 using caperjunction::bench::loaded_router;
 
-// Filling 10,000 engines takes seconds; each world is made once.
-loaded_router& world(load_size size)
+// Filling 10,000 engines takes seconds, so each router is created only once.
+loaded_router& cached_router(load_size size)
 {
     using key = std::tuple<std::size_t, std::size_t, std::size_t>;
-    static std::map<key, std::unique_ptr<loaded_router>> s_worlds;
-    auto& made = s_worlds[{size.engines, size.teams, size.queued}];
-    if (!made) {
-        made = std::make_unique<loaded_router>(size);
+    static std::map<key, std::unique_ptr<loaded_router>> s_routers;
+    auto& router = s_routers[{size.engines, size.teams, size.queued}];
+    if (!router) {
+        router = std::make_unique<loaded_router>(size);
     }
-    return *made;
+    return *router;
 }
 
 load_size size_of(benchmark::State const& state)
@@ -35,41 +34,41 @@
             static_cast<std::size_t>(state.range(2))};
 }
 
-void count(benchmark::State& state, loaded_router& own, load_size size)
+void count(benchmark::State& state, loaded_router& router, load_size size)
 {
     state.counters["dispatches_per_iteration"] =
-        benchmark::Counter(static_cast<double>(own.take_dispatches()),
+        benchmark::Counter(static_cast<double>(router.take_dispatches()),
                            benchmark::Counter::kAvgIterations);
     state.counters["bytes_per_engine"] =
-        own.engine_bytes() / static_cast<double>(size.engines);
+        router.engine_bytes() / static_cast<double>(size.engines);
     if (size.queued > 0) {
         state.counters["bytes_per_queued_request"] =
-            own.queue_bytes() / static_cast<double>(size.queued);
+            router.queue_bytes() / static_cast<double>(size.queued);
     }
 }
 
-/// A request ends, another comes: one is dispatched in each iteration.
+/// One request ends and another arrives: one dispatch per iteration.
 void one_decision(benchmark::State& state)
 {
     load_size const size = size_of(state);
-    loaded_router& own = world(size);
-    own.take_dispatches();
+    loaded_router& router = cached_router(size);
+    router.take_dispatches();
     for ([[maybe_unused]] auto const& step : state) {
-        own.end_one();
-        own.arrive();
+        router.complete_request();
+        router.add_request();
     }
-    count(state, own, size);
+    count(state, router, size);
 }
 
 void one_tick(benchmark::State& state)
 {
     load_size const size = size_of(state);
-    loaded_router& own = world(size);
-    own.take_dispatches();
+    loaded_router& router = cached_router(size);
+    router.take_dispatches();
     for ([[maybe_unused]] auto const& step : state) {
-        own.tick();
+        router.tick();
     }
-    count(state, own, size);
+    count(state, router, size);
 }
 
 void add_sizes(benchmark::internal::Benchmark* bench)
