--- a/bench/policy_bench/attempt.hpp
+++ b/bench/policy_bench/attempt.hpp
@@ -7,20 +7,20 @@
 
 namespace caperjunction::bench {
 
-/// One attempt of a send at an upstream, and what came of it.
+/// One attempt of a send at an upstream, and its result.
 struct attempt
 {
     std::size_t send = 0;
     std::size_t host = 0;
     std::size_t upstream = 0;
-    /// Whether its host still waits for it.
+    /// Whether the host still waits for the end of the attempt.
     bool open = true;
-    /// No connection could be made; its host will notice.
+    /// The connection could not be opened; the host detects this later.
     bool unsent = false;
-    /// Its tokens are dropped: the policy has cancelled it.
+    /// The policy has cancelled the attempt; its tokens are dropped.
     bool abandoned = false;
     std::uint32_t relayed = 0;
-    /// What the upstream computed, known once it has ended there.
+    /// Computed work; set when the attempt has ended at the upstream.
     job_result result;
 };
 
--- a/bench/policy_bench/baselines.cpp
+++ b/bench/policy_bench/baselines.cpp
@@ -22,8 +22,9 @@
     return catalogue.find_tier(found->tier)->rank;
 }
 
-std::string const& least(std::vector<std::string> const& upstreams,
-                         direct_policy::outstanding_map const& outstanding)
+std::string const&
+least_outstanding(std::vector<std::string> const& upstreams,
+                  direct_policy::outstanding_map const& outstanding)
 {
     auto const load = [&](std::string const& name) {
         auto const found = outstanding.find(name);
@@ -54,7 +55,7 @@
 
 policy make_round_robin(decide::router_settings const& settings)
 {
-    // Hosts start at different places, or all would hit the same upstream.
+    // Hosts start at different upstreams; otherwise all would use the same one.
     auto const next = std::make_shared<std::size_t>(settings.seed);
     return wrap(
         [next](std::vector<std::string> const& upstreams,
@@ -66,12 +67,12 @@
 
 policy make_least_outstanding(decide::router_settings const& /*settings*/)
 {
-    return wrap(least, no_rank);
+    return wrap(least_outstanding, no_rank);
 }
 
 policy make_strict_priority(decide::router_settings const& /*settings*/)
 {
-    return wrap(least, tier_rank);
+    return wrap(least_outstanding, tier_rank);
 }
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/baselines.hpp
+++ b/bench/policy_bench/baselines.hpp
@@ -5,14 +5,16 @@
 
 namespace caperjunction::bench {
 
-/// Each upstream in turn; first come first served in the engines.
+/// Uses the upstreams in rotation; engines process requests in order of
+/// arrival.
 policy make_round_robin(decide::router_settings const& settings);
 
-/// The upstream with the fewest of this host's requests outstanding; first
-/// come first served in the engines.
+/// Uses the upstream with the fewest outstanding requests of this host; engines
+/// process requests in order of arrival.
 policy make_least_outstanding(decide::router_settings const& settings);
 
-/// As the one before, but the engines take the higher tier first, always.
+/// Like `make_least_outstanding`, but engines always process the highest tier
+/// first.
 policy make_strict_priority(decide::router_settings const& settings);
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/caller.hpp
+++ b/bench/policy_bench/caller.hpp
@@ -7,7 +7,7 @@
 
 namespace caperjunction::bench {
 
-/// One who wants an answer, over all sends.
+/// State of a caller over all its sends.
 struct caller
 {
     planned_request const* plan = nullptr;
@@ -15,7 +15,7 @@
     /// Index of the last send.
     std::size_t send = 0;
     bool done = false;
-    /// Hung up by its own will, not for want of an answer.
+    /// The caller hung up as planned, not because an answer was late.
     bool left = false;
 };
 
--- a/bench/policy_bench/callers.cpp
+++ b/bench/policy_bench/callers.cpp
@@ -9,11 +9,11 @@
                  std::vector<planned_request> const& trace,
                  event_queue& queue,
                  fleet& hosts)
-    : m_where(where)
-    , m_what(what)
+    : m_deployment(where)
+    , m_scenario(what)
     , m_queue(queue)
     , m_fleet(hosts)
-    , m_left(trace.size())
+    , m_open_callers(trace.size())
 {
     for (planned_request const& plan : trace) {
         caller made;
@@ -39,16 +39,16 @@
 
 std::size_t callers::balance(caller const& who) const
 {
-    std::size_t const hosts = m_where.hosts.size();
+    std::size_t const hosts = m_deployment.hosts.size();
     std::size_t const first = who.plan->balancer % hosts;
     if (who.sends == 0) {
         return first;
     }
-    std::string const& region = m_where.hosts[first].region;
+    std::string const& region = m_deployment.hosts[first].region;
     std::uint64_t const pick = who.plan->balancer / hosts + who.sends;
     std::vector<std::size_t> near;
     for (std::size_t host = 0; host < hosts; ++host) {
-        if (m_where.hosts[host].region == region) {
+        if (m_deployment.hosts[host].region == region) {
             near.push_back(host);
         }
     }
@@ -63,25 +63,25 @@
     }
     std::size_t const host = balance(who);
     ++who.sends;
-    // A refusal may come before `arrive` returns and look for this.
+    // A refusal may arrive before `add_request` returns; it needs this index.
     who.send = m_fleet.sends().size();
-    m_fleet.arrive(*who.plan, index, who.sends, host);
-    watch_patience(index);
+    m_fleet.add_request(*who.plan, index, who.sends, host);
+    schedule_give_up(index);
 }
 
-void callers::watch_patience(std::size_t index)
+void callers::schedule_give_up(std::size_t index)
 {
     caller const& who = m_callers[index];
     std::size_t const which = who.send;
-    m_queue.after(m_where.class_of(who.plan->load).max_wait * patience,
-                  [this, index, which] {
-                      send const& sent = m_fleet.sends()[which];
-                      if (sent.state != send_state::done
-                          && !sent.has_answer()) {
-                          m_fleet.give_up(which);
-                          close(index);
-                      }
-                  });
+    m_queue.after(
+        m_deployment.class_of(who.plan->load).max_wait * give_up_factor,
+        [this, index, which] {
+            send const& sent = m_fleet.sends()[which];
+            if (sent.state != send_state::done && !sent.has_answer()) {
+                m_fleet.give_up(which);
+                close(index);
+            }
+        });
 }
 
 void callers::leave(std::size_t index)
@@ -99,21 +99,21 @@
 {
     if (!m_callers[index].done) {
         m_callers[index].done = true;
-        --m_left;
+        --m_open_callers;
     }
 }
 
-bool callers::comes_back(caller const& who, send const& which) const
+bool callers::may_resend(caller const& who, send const& which) const
 {
-    bool const repeatable = m_where.loads[who.plan->load].service.empty();
+    bool const repeatable = m_deployment.loads[who.plan->load].service.empty();
     bool const failed = which.end == send_end::failed && repeatable;
     if (which.end != send_end::refused && !failed) {
         return false;
     }
     if (who.plan->killer) {
-        return who.sends < killer_sends;
+        return who.sends < max_killer_sends;
     }
-    return who.sends <= m_what.resends;
+    return who.sends <= m_scenario.resends;
 }
 
 void callers::answered(send const& which, model::milliseconds retry_after)
@@ -122,19 +122,19 @@
     if (which.end == send_end::hung_up) {
         return;
     }
-    auto const told =
+    auto const requested_delay =
         std::max(std::chrono::seconds{1},
                  std::chrono::ceil<std::chrono::seconds>(retry_after));
-    constexpr double most_late = 0.2;
-    constexpr std::uint64_t grain = 1'000;
-    double const late = most_late
-                        * static_cast<double>(who.plan->balancer % grain)
-                        / static_cast<double>(grain);
+    constexpr double max_jitter = 0.2;
+    constexpr std::uint64_t jitter_steps = 1'000;
+    double const jitter =
+        max_jitter * static_cast<double>(who.plan->balancer % jitter_steps)
+        / static_cast<double>(jitter_steps);
     auto const delay = std::chrono::duration_cast<std::chrono::nanoseconds>(
-        told * (1.0 + late));
+        requested_delay * (1.0 + jitter));
     bool const too_late =
-        m_queue.now() + delay > model::time_point{} + m_what.length;
-    if (too_late || !comes_back(who, which)) {
+        m_queue.now() + delay > model::time_point{} + m_scenario.length;
+    if (too_late || !may_resend(who, which)) {
         close(which.caller);
         return;
     }
--- a/bench/policy_bench/callers.hpp
+++ b/bench/policy_bench/callers.hpp
@@ -13,21 +13,20 @@
 
 namespace caperjunction::bench {
 
-/// All callers of one run: they send, wait, hang up, and come back when they
-/// were told to.
+/// All callers of one run: they send, wait, hang up and retry.
 ///
-/// A caller stays in its region; the balancer picks a host there at random
-/// for every send. One that was refused, or whose repeatable request failed,
-/// sends again after the `Retry-After` (in whole seconds, as HTTP has it, and
-/// up to a fifth later), at most `scenario::resends` times, and not
-/// after new requests have ended. One that sees no
-/// token for twice its class's `max_wait` gives up.
+/// A caller stays in its region; the load balancer selects a random host there
+/// for each send. A caller that was refused, or whose repeatable request
+/// failed, sends again after the `Retry-After` (in whole seconds, as in HTTP,
+/// plus up to a fifth), at most `scenario::resends` times, and not after the
+/// end of new requests. A caller that receives no token within twice the
+/// `max_wait` of its class gives up.
 ///
 /// Thread safety: none.
 class callers
 {
 public:
-    /// \pre `trace` outlives this and does not change.
+    /// \pre `trace` outlives this object and does not change.
     callers(deployment const& where,
             scenario const& what,
             std::vector<planned_request> const& trace,
@@ -38,12 +37,12 @@
 
     void start();
 
-    /// The final answer of a send.
+    /// Handles the final answer of a send.
     void answered(send const& which, model::milliseconds retry_after);
 
     bool all_done() const
     {
-        return m_left == 0;
+        return m_open_callers == 0;
     }
 
     std::vector<caller> const& all() const
@@ -52,23 +51,23 @@
     }
 
 private:
-    /// The caller that crashes engines sends this often at most.
-    static constexpr std::uint32_t killer_sends = 12;
-    static constexpr int patience = 2;
+    /// Maximum sends of the caller whose request crashes engines.
+    static constexpr std::uint32_t max_killer_sends = 12;
+    static constexpr int give_up_factor = 2;
 
     void send_now(std::size_t index);
-    void watch_patience(std::size_t index);
+    void schedule_give_up(std::size_t index);
     void leave(std::size_t index);
     void close(std::size_t index);
-    bool comes_back(caller const& who, send const& which) const;
+    bool may_resend(caller const& who, send const& which) const;
     std::size_t balance(caller const& who) const;
 
-    deployment const& m_where;
-    scenario const& m_what;
+    deployment const& m_deployment;
+    scenario const& m_scenario;
     event_queue& m_queue;
     fleet& m_fleet;
     std::vector<caller> m_callers;
-    std::size_t m_left = 0;
+    std::size_t m_open_callers = 0;
 };
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/class_load.hpp
+++ b/bench/policy_bench/class_load.hpp
@@ -7,7 +7,7 @@
 
 namespace caperjunction::bench {
 
-/// What callers of one service class send when nothing is the matter.
+/// Load of one service class under normal conditions.
 struct class_load
 {
     std::string service_class;
@@ -22,9 +22,9 @@
     std::chrono::milliseconds mean_call{0};
     std::uint32_t mean_prompt_tokens = 0;
     std::uint32_t mean_output_tokens = 0;
-    /// Spread of the logarithm of both lengths.
+    /// Standard deviation of the logarithm of both lengths.
     double spread = 0.5;
-    /// Share of the prompt that is one of the team's documents.
+    /// Share of the prompt that is one of the team's shared documents.
     double document_share = 0.5;
     std::uint32_t documents = 4;
 };
--- a/bench/policy_bench/class_result.hpp
+++ b/bench/policy_bench/class_result.hpp
@@ -6,35 +6,36 @@
 
 namespace caperjunction::bench {
 
-/// What the callers of one class got. Each counts once, at its first send,
-/// and its times count from there, however often it was told to come back.
+/// Results of the callers of one class. Each caller counts once; its times are
+/// measured from its first send, regardless of the number of retries.
 struct class_result
 {
     std::string name;
     std::string tier;
     std::uint32_t offered = 0;
     std::uint32_t served = 0;
-    /// Refused at their last send.
+    /// Callers whose last send was refused.
     std::uint32_t refused = 0;
-    /// Ended with an error that leaves open whether they ran.
+    /// Callers whose request ended with an error of unknown outcome.
     std::uint32_t failed = 0;
     std::uint32_t hung_up = 0;
-    /// Of `served`, those within both targets.
+    /// Part of `served` within both targets.
     std::uint32_t within = 0;
-    /// Of `served`, those whose first token came too late, and of the others
-    /// those whose tokens came too slowly.
+    /// Part of `served` whose first token was too late, and part of the
+    /// remaining ones whose tokens were too slow.
     std::uint32_t late = 0;
     std::uint32_t slow = 0;
-    /// Those who hung up by their own will while all was in time; they are
-    /// neither in nor out of target.
+    /// Callers that hung up as planned while all targets were met; they count
+    /// neither as within nor as outside of the targets.
     std::uint32_t not_counted = 0;
-    /// Counted ones of all teams but the largest, and those within targets.
+    /// Counted callers of all teams but the largest, and the part within
+    /// targets.
     std::uint32_t smaller_teams = 0;
     std::uint32_t smaller_teams_within = 0;
     double promised = 0.0;
-    /// Longest time from a send to its first token or refusal.
+    /// Maximum time from a send to its first token or refusal.
     double max_wait_s = 0.0;
-    /// Whether the tier's demand was within its guaranteed share throughout.
+    /// Whether the tier's peak demand is within its guaranteed share.
     bool fits_share = true;
 
     double attainment() const
@@ -43,8 +44,8 @@
         return counted == 0 ? 1.0 : static_cast<double>(within) / counted;
     }
 
-    /// Attainment of all teams but the largest: nobody's branch is forgotten
-    /// because another one floods.
+    /// Attainment of all teams but the largest. It drops if a flood of the
+    /// largest team starves the other teams.
     double smaller_teams_attainment() const
     {
         return smaller_teams == 0
--- a/bench/policy_bench/deployment.cpp
+++ b/bench/policy_bench/deployment.cpp
@@ -62,7 +62,7 @@
     }
     throw model::error(model::error_kind::bad_settings,
                        "there is no deployment '" + std::string(name) + "'",
-                       "name kitanomine or gangasagar");
+                       "use kitanomine or gangasagar");
 }
 
 std::vector<std::string> deployment_names()
--- a/bench/policy_bench/deployment.hpp
+++ b/bench/policy_bench/deployment.hpp
@@ -2,7 +2,7 @@
 #define CAPERJUNCTION_BENCH_DEPLOYMENT_HPP
 
 #include "bench/policy_bench/class_load.hpp"
-#include "bench/policy_bench/engine_numbers.hpp"
+#include "bench/policy_bench/engine_parameters.hpp"
 #include "bench/policy_bench/network.hpp"
 #include "bench/policy_bench/place.hpp"
 #include "lists/catalogue.hpp"
@@ -16,7 +16,7 @@
 
 namespace caperjunction::bench {
 
-/// One user's installation at its size of today.
+/// One user's installation at its current size.
 struct deployment
 {
     std::string name;
@@ -27,10 +27,10 @@
     model::upstream_list upstreams;
     std::shared_ptr<lists::catalogue const> catalogue;
     std::vector<class_load> loads;
-    /// In the order of the customer's teams: a few large, the others small.
+    /// Weights in the order of the customer's teams; a few teams are large.
     std::vector<double> team_weights;
     network::delays delays;
-    engine_numbers engine;
+    engine_parameters engine;
 
     place place_of(std::string const& region,
                    std::string const& data_centre) const;
@@ -38,15 +38,16 @@
     lists::service_class const& class_of(std::size_t load) const;
     lists::tier const& tier_of(std::size_t load) const;
 
-    /// Engine time that a request of these lengths costs with a full batch
-    /// and nothing cached.
+    /// Returns the engine time of a request of these lengths with a full batch
+    /// and an empty cache.
     double engine_seconds(double prompt_tokens, double output_tokens) const;
 
-    /// Work of a request in output tokens: a prompt token counts for as many
-    /// as the engine could have put out in the same time with a full batch.
+    /// Returns the work of a request in output tokens. A prompt token counts as
+    /// many as the engine could have generated in the same time with a full
+    /// batch.
     double work(double prompt_tokens, double output_tokens) const;
 
-    /// Work that all engines do in a second with full batches.
+    /// Returns the work of all engines per second with full batches.
     double capacity() const;
 };
 
--- a/bench/policy_bench/deployment_builder.cpp
+++ b/bench/policy_bench/deployment_builder.cpp
@@ -31,7 +31,7 @@
 } // namespace
 
 deployment_builder::deployment_builder(deployment& into)
-    : m_into(into)
+    : m_deployment(into)
 {
 }
 
@@ -41,10 +41,10 @@
 {
     for (std::size_t left = count; left > 0; --left) {
         model::host host;
-        host.name = "host-" + std::to_string(m_into.hosts.size() + 1);
+        host.name = "host-" + std::to_string(m_deployment.hosts.size() + 1);
         host.region = region;
         host.data_centre = data_centre;
-        m_into.hosts.push_back(host);
+        m_deployment.hosts.push_back(host);
     }
 }
 
@@ -53,14 +53,14 @@
                                      std::string const& model,
                                      std::size_t count)
 {
-    auto& engines = m_into.upstreams.engines;
+    auto& engines = m_deployment.upstreams.engines;
     for (std::size_t left = count; left > 0; --left) {
         model::engine engine;
         engine.name = "engine-" + std::to_string(engines.size() + 1);
         engine.region = region;
         engine.data_centre = data_centre;
         engine.models.push_back(model);
-        engine.slots = m_into.engine.slots;
+        engine.slots = m_deployment.engine.slots;
         engines.push_back(engine);
     }
 }
@@ -69,7 +69,7 @@
                                      std::string const& data_centre,
                                      std::string const& service)
 {
-    auto& services = m_into.upstreams.services;
+    auto& services = m_deployment.upstreams.services;
     model::service_instance instance;
     instance.service = service;
     instance.name = service + "-" + std::to_string(services.size() + 1);
@@ -87,22 +87,23 @@
     plans.classes = std::move(classes);
     lists::plan plan;
     plan.name = plan_name;
-    for (class_load& load : m_into.loads) {
+    for (class_load& load : m_deployment.loads) {
         load.plan = plan_name;
         plan.classes.push_back(load.service_class);
     }
     plans.plans.push_back(plan);
     lists::customer customer;
-    customer.name = m_into.name;
-    for (std::size_t team = 0; team < m_into.team_weights.size(); ++team) {
+    customer.name = m_deployment.name;
+    for (std::size_t team = 0; team < m_deployment.team_weights.size();
+         ++team) {
         customer.teams.push_back(
             {"team-" + std::to_string(team + 1), plan_name, {}});
     }
     plans.customers.push_back(customer);
-    lists::entitlement_list entitlements = entitle(m_into.loads);
+    lists::entitlement_list entitlements = entitle(m_deployment.loads);
     entitlements.revision = 1;
-    m_into.upstreams.revision = 1;
-    m_into.catalogue = std::make_shared<lists::catalogue const>(
+    m_deployment.upstreams.revision = 1;
+    m_deployment.catalogue = std::make_shared<lists::catalogue const>(
         std::move(plans), std::move(entitlements));
 }
 
--- a/bench/policy_bench/deployment_builder.hpp
+++ b/bench/policy_bench/deployment_builder.hpp
@@ -8,7 +8,7 @@
 
 namespace caperjunction::bench {
 
-/// Adds hosts, upstreams and teams to a deployment under running names.
+/// Adds hosts, upstreams and teams to a deployment with numbered names.
 ///
 /// Thread safety: none.
 class deployment_builder
@@ -27,13 +27,13 @@
                      std::string const& data_centre,
                      std::string const& service);
 
-    /// Puts the lists in force: one customer whose teams share one plan with
-    /// all classes, models and services named in the loads.
+    /// Creates the catalogue: one customer whose teams share one plan with all
+    /// classes, models and services of the loads.
     void finish(std::vector<lists::tier> tiers,
                 std::vector<lists::service_class> classes);
 
 private:
-    deployment& m_into;
+    deployment& m_deployment;
 };
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/deployments.hpp
+++ b/bench/policy_bench/deployments.hpp
@@ -5,12 +5,12 @@
 
 namespace caperjunction::bench {
 
-/// Wine shops: short urgent questions and reservations above campaign
-/// summaries above long allocation letters.
+/// Wine shops. Tiers from high to low: short urgent questions and reservations,
+/// campaign summaries, long allocation letters.
 deployment make_kitanomine();
 
-/// Plant shows: stewards' lookups and entry bookings above exhibitors'
-/// questions above whole schedules.
+/// Plant shows. Tiers from high to low: stewards' lookups and entry bookings,
+/// exhibitors' questions, whole schedules.
 deployment make_gangasagar();
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/direct_policy.cpp
+++ b/bench/policy_bench/direct_policy.cpp
@@ -26,7 +26,7 @@
         m_upstreams = changed->upstreams;
     } else if (auto const* arrived =
                    std::get_if<decide::request_arrived>(&event)) {
-        arrive(arrived->request, out);
+        handle_arrival(arrived->request, out);
     } else if (auto const* ended = std::get_if<decide::attempt_ended>(&event)) {
         end(*ended, out);
     } else if (auto const* hung_up =
@@ -36,7 +36,7 @@
 }
 
 std::vector<std::string>
-direct_policy::serving(decide::request const& request) const
+direct_policy::upstreams_for(decide::request const& request) const
 {
     std::vector<std::string> names;
     for (model::engine const& engine : m_upstreams.engines) {
@@ -56,10 +56,10 @@
     return names;
 }
 
-void direct_policy::arrive(decide::request const& request,
-                           std::vector<decide::decision>& out)
+void direct_policy::handle_arrival(decide::request const& request,
+                                   std::vector<decide::decision>& out)
 {
-    auto const upstreams = serving(request);
+    auto const upstreams = upstreams_for(request);
     if (upstreams.empty()) {
         out.emplace_back(decide::refuse{request.id,
                                         model::error_kind::unavailable,
@@ -71,7 +71,7 @@
     }
     std::string const& chosen = m_choose(upstreams, m_outstanding);
     ++m_outstanding[chosen];
-    m_flights[request.id] = chosen;
+    m_assigned_upstreams[request.id] = chosen;
     decide::dispatch made;
     made.id = request.id;
     made.upstream = chosen;
@@ -83,12 +83,12 @@
 void direct_policy::end(decide::attempt_ended const& ended,
                         std::vector<decide::decision>& out)
 {
-    auto const found = m_flights.find(ended.id);
-    if (found == m_flights.end()) {
+    auto const found = m_assigned_upstreams.find(ended.id);
+    if (found == m_assigned_upstreams.end()) {
         return;
     }
     --m_outstanding[found->second];
-    m_flights.erase(found);
+    m_assigned_upstreams.erase(found);
     if (ended.end == decide::attempt_end::complete
         || ended.end == decide::attempt_end::cancelled) {
         return;
@@ -107,8 +107,8 @@
 void direct_policy::cancel(model::request_id id,
                            std::vector<decide::decision>& out)
 {
-    auto const found = m_flights.find(id);
-    if (found != m_flights.end()) {
+    auto const found = m_assigned_upstreams.find(id);
+    if (found != m_assigned_upstreams.end()) {
         out.emplace_back(decide::cancel_attempt{id, found->second, "hung_up"});
     }
 }
--- a/bench/policy_bench/engine_job.hpp
+++ b/bench/policy_bench/engine_job.hpp
@@ -6,19 +6,19 @@
 
 namespace caperjunction::bench {
 
-/// One attempt as it reaches an engine.
+/// One attempt as submitted to an engine.
 struct engine_job
 {
     std::uint64_t attempt = 0;
-    /// A lower number goes first.
+    /// Lower numbers are processed first.
     std::uint32_t priority = 0;
     std::uint32_t prompt_tokens = 0;
-    /// The answer's true length, which no policy is told.
+    /// Actual length of the answer; not known to any policy.
     std::uint32_t output_tokens = 0;
-    /// Output that the caller has already; it is taken in like a prompt.
+    /// Output tokens that the caller already has; prefilled like a prompt.
     std::uint32_t resume_offset = 0;
     std::vector<std::uint64_t> prefix_blocks;
-    /// The engine's process ends when it runs this one.
+    /// The engine process crashes when it runs this job.
     bool crashes_engine = false;
 };
 
--- a/bench/policy_bench/event_queue.hpp
+++ b/bench/policy_bench/event_queue.hpp
@@ -10,9 +10,9 @@
 
 namespace caperjunction::bench {
 
-/// The bench's clock and its list of things to come. Time passes only by
-/// taking the next of them; those of one instant run in the order in which
-/// they were asked for, so that a run depends on its seed alone.
+/// Virtual clock and scheduled actions of the simulation. Time advances only to
+/// the next action. Actions with equal times run in the order in which they
+/// were scheduled, so that a run depends only on its seed.
 ///
 /// Thread safety: none.
 class event_queue
@@ -31,7 +31,7 @@
     /// \pre `delay` is not negative.
     void after(std::chrono::nanoseconds delay, action run);
 
-    /// Runs everything due up to `end` and sets the clock to it.
+    /// Runs all actions up to `end` and sets the clock to `end`.
     void run_until(model::time_point end);
 
 private:
--- a/bench/policy_bench/fake_engine.cpp
+++ b/bench/policy_bench/fake_engine.cpp
@@ -6,16 +6,16 @@
 
 namespace caperjunction::bench {
 
-fake_engine::fake_engine(engine_numbers numbers,
+fake_engine::fake_engine(engine_parameters parameters,
                          event_queue& queue,
                          upstream_hooks hooks)
-    : m_numbers(numbers)
+    : m_parameters(parameters)
     , m_queue(queue)
     , m_hooks(std::move(hooks))
 {
 }
 
-bool fake_engine::before(sequence const& left, sequence const& right)
+bool fake_engine::precedes(sequence const& left, sequence const& right)
 {
     return std::tie(left.job.priority, left.order)
            < std::tie(right.job.priority, right.order);
@@ -28,7 +28,7 @@
     entry.produced = job.resume_offset;
     entry.order = m_order++;
     entry.job = std::move(job);
-    if (m_waiting.size() >= m_numbers.max_waiting) {
+    if (m_waiting.size() >= m_parameters.max_waiting) {
         finish(entry, decide::attempt_end::refused);
         return;
     }
@@ -38,9 +38,9 @@
 
 void fake_engine::enqueue(sequence entry)
 {
-    auto const place =
-        std::upper_bound(m_waiting.begin(), m_waiting.end(), entry, before);
-    m_waiting.insert(place, std::move(entry));
+    auto const index =
+        std::upper_bound(m_waiting.begin(), m_waiting.end(), entry, precedes);
+    m_waiting.insert(index, std::move(entry));
 }
 
 void fake_engine::cancel(std::uint64_t attempt)
@@ -88,7 +88,7 @@
 
 void fake_engine::slow_down(double factor)
 {
-    m_slowness = factor;
+    m_slowdown = factor;
 }
 
 std::uint32_t fake_engine::running() const
@@ -108,7 +108,7 @@
 
 double fake_engine::kv_share() const
 {
-    return static_cast<double>(m_kv_used) / m_numbers.kv_tokens;
+    return static_cast<double>(m_kv_used) / m_parameters.kv_tokens;
 }
 
 prefix_cache& fake_engine::cache()
@@ -121,19 +121,20 @@
     return m_crashes;
 }
 
-bool fake_engine::start_first()
+bool fake_engine::start_next()
 {
     sequence& first = m_waiting.front();
     std::uint32_t const need = first.job.prompt_tokens + first.produced + 1;
-    if (m_kv_used + need > m_numbers.kv_tokens && !m_running.empty()) {
+    if (m_kv_used + need > m_parameters.kv_tokens && !m_running.empty()) {
         return false;
     }
     std::uint32_t const held =
         static_cast<std::uint32_t>(m_cache.match(first.job.prefix_blocks))
-        * m_numbers.block_tokens;
+        * m_parameters.block_tokens;
     // At least one token of a prompt is always computed.
     std::uint32_t const cached = std::min(held, first.job.prompt_tokens - 1);
-    first.to_take_in = first.job.prompt_tokens + first.produced - cached;
+    first.pending_prefill_tokens =
+        first.job.prompt_tokens + first.produced - cached;
     first.held_tokens = need;
     first.result.cached_tokens = cached;
     m_kv_used += need;
@@ -144,23 +145,24 @@
 
 void fake_engine::admit()
 {
-    while (!m_waiting.empty() && m_running.size() < m_numbers.slots) {
-        if (!start_first()) {
+    while (!m_waiting.empty() && m_running.size() < m_parameters.slots) {
+        if (!start_next()) {
             return;
         }
     }
 }
 
-std::uint32_t fake_engine::take_in_prompts()
+std::uint32_t fake_engine::prefill()
 {
-    std::uint32_t left = m_numbers.prompt_tokens_per_step;
+    std::uint32_t left = m_parameters.prompt_tokens_per_step;
     for (sequence& entry : m_running) {
-        std::uint32_t const piece = std::min(left, entry.to_take_in);
-        entry.to_take_in -= piece;
+        std::uint32_t const piece =
+            std::min(left, entry.pending_prefill_tokens);
+        entry.pending_prefill_tokens -= piece;
         entry.result.computed_prompt += piece;
         left -= piece;
     }
-    return m_numbers.prompt_tokens_per_step - left;
+    return m_parameters.prompt_tokens_per_step - left;
 }
 
 void fake_engine::start_step()
@@ -174,15 +176,15 @@
     }
     std::int64_t const decoding =
         std::count_if(m_running.begin(), m_running.end(), [](auto const& one) {
-            return one.to_take_in == 0;
+            return one.pending_prefill_tokens == 0;
         });
-    std::uint32_t const taken = take_in_prompts();
+    std::uint32_t const taken = prefill();
     std::chrono::duration<double, std::nano> const step =
-        m_numbers.step_base + m_numbers.step_per_sequence * decoding
-        + m_numbers.step_per_prompt_token * taken;
+        m_parameters.step_base + m_parameters.step_per_sequence * decoding
+        + m_parameters.step_per_prompt_token * taken;
     m_stepping = true;
     m_queue.after(
-        std::chrono::duration_cast<std::chrono::nanoseconds>(step * m_slowness),
+        std::chrono::duration_cast<std::chrono::nanoseconds>(step * m_slowdown),
         [this, epoch = m_epoch] {
             end_step(epoch);
         });
@@ -194,27 +196,27 @@
         return;
     }
     m_stepping = false;
-    for (std::size_t place = 0; place < m_running.size();) {
-        if (m_running[place].to_take_in > 0) {
-            ++place;
+    for (std::size_t index = 0; index < m_running.size();) {
+        if (m_running[index].pending_prefill_tokens > 0) {
+            ++index;
             continue;
         }
-        if (m_running[place].job.crashes_engine) {
+        if (m_running[index].job.crashes_engine) {
             constexpr std::chrono::seconds restart{10};
             crash(restart);
             return;
         }
-        if (advance(m_running[place])) {
-            sequence entry = std::move(m_running[place]);
+        if (advance(m_running[index])) {
+            sequence entry = std::move(m_running[index]);
             m_running.erase(m_running.begin()
-                            + static_cast<std::ptrdiff_t>(place));
+                            + static_cast<std::ptrdiff_t>(index));
             m_kv_used -= entry.held_tokens;
             finish(entry, decide::attempt_end::complete);
         } else {
-            ++place;
+            ++index;
         }
     }
-    keep_within_memory();
+    evict_to_fit_memory();
     start_step();
 }
 
@@ -229,12 +231,12 @@
     }
     if (!entry.first_sent) {
         std::size_t const room =
-            m_numbers.cache_tokens / m_numbers.block_tokens;
+            m_parameters.cache_tokens / m_parameters.block_tokens;
         m_cache.store(entry.job.prefix_blocks, room);
     }
     bool const done = entry.produced >= entry.job.output_tokens;
     if (done || !entry.first_sent
-        || entry.unsent >= m_numbers.tokens_per_chunk) {
+        || entry.unsent >= m_parameters.tokens_per_chunk) {
         send(entry);
     }
     return done;
@@ -254,22 +256,23 @@
     m_hooks.ended(entry.result);
 }
 
-// Running sequences grow; when memory is full the cache gives way first, and
-// then the lowest and newest sequence is put back and computed again later.
-void fake_engine::keep_within_memory()
+// Running sequences grow. If memory is full, cache blocks are evicted first,
+// then the newest sequence of the lowest priority is queued again and
+// recomputed.
+void fake_engine::evict_to_fit_memory()
 {
-    while (m_kv_used > m_numbers.kv_tokens && m_running.size() > 1) {
+    while (m_kv_used > m_parameters.kv_tokens && m_running.size() > 1) {
         auto const last =
-            std::max_element(m_running.begin(), m_running.end(), before);
+            std::max_element(m_running.begin(), m_running.end(), precedes);
         sequence entry = std::move(*last);
         m_running.erase(last);
         m_kv_used -= entry.held_tokens;
         enqueue(std::move(entry));
     }
     std::uint32_t const room = std::min(
-        m_numbers.cache_tokens,
-        m_numbers.kv_tokens - std::min(m_kv_used, m_numbers.kv_tokens));
-    m_cache.shrink(room / m_numbers.block_tokens);
+        m_parameters.cache_tokens,
+        m_parameters.kv_tokens - std::min(m_kv_used, m_parameters.kv_tokens));
+    m_cache.shrink(room / m_parameters.block_tokens);
 }
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/fake_service.hpp
+++ b/bench/policy_bench/fake_service.hpp
@@ -10,21 +10,21 @@
 
 namespace caperjunction::bench {
 
-/// A plain service with a few workers and a queue in order of arrival.
+/// A service with a fixed number of workers and a FIFO queue.
 ///
 /// Thread safety: none.
 class fake_service
 {
 public:
-    /// Calls that it runs side by side; our own assumption.
+    /// Maximum number of concurrent calls; an assumption, not a measurement.
     static constexpr std::uint32_t workers = 4;
 
     fake_service(event_queue& queue, upstream_hooks hooks);
     fake_service(fake_service const&) = delete;
     fake_service& operator=(fake_service const&) = delete;
 
-    /// Runs the call for `length` once a worker is free. A call that has been
-    /// handed over runs to its end, whether or not somebody waits for it.
+    /// Runs the call for `length` when a worker is free. A submitted call runs
+    /// to its end even if no caller waits for it.
     void submit(std::uint64_t attempt, std::chrono::nanoseconds length);
 
 private:
--- a/bench/policy_bench/fleet.cpp
+++ b/bench/policy_bench/fleet.cpp
@@ -11,7 +11,7 @@
              network& net,
              auditor& watch,
              violation_list& violations)
-    : m_where(where)
+    : m_deployment(where)
     , m_queue(queue)
     , m_network(net)
     , m_auditor(watch)
@@ -42,15 +42,15 @@
     m_digest_period = digest_period;
     m_window_end = window_end;
     for (std::size_t host = 0; host < m_hosts.size(); ++host) {
-        tell(host, decide::lists_changed{m_where.catalogue});
-        tell(host, decide::upstreams_changed{m_where.upstreams});
-        // Hosts don't keep step with each other.
+        handle_event(host, decide::lists_changed{m_deployment.catalogue});
+        handle_event(host, decide::upstreams_changed{m_deployment.upstreams});
+        // Hosts do not tick in lockstep.
         auto const offset = std::chrono::milliseconds{2} * host;
         m_queue.after(offset, [this, host] {
             tick(host);
         });
         m_queue.after(digest_period / m_hosts.size() * host, [this, host] {
-            spread_digest(host);
+            broadcast_digest(host);
         });
     }
 }
@@ -65,13 +65,13 @@
     if (m_stopped) {
         return;
     }
-    tell(host, decide::tick{});
+    handle_event(host, decide::tick{});
     m_queue.after(decide::router::tick_period, [this, host] {
         tick(host);
     });
 }
 
-void fleet::spread_digest(std::size_t host)
+void fleet::broadcast_digest(std::size_t host)
 {
     if (m_stopped) {
         return;
@@ -82,20 +82,21 @@
         if (to == host) {
             continue;
         }
-        decide::digest_received const heard{m_where.hosts[host].name, bytes};
+        decide::digest_received const received{m_deployment.hosts[host].name,
+                                               bytes};
         m_network.send(m_hosts[host].place,
                        m_hosts[to].place,
                        bytes.size() + frame_bytes,
-                       [this, to, heard] {
-                           tell(to, heard);
+                       [this, to, received] {
+                           handle_event(to, received);
                        });
     }
     m_queue.after(m_digest_period, [this, host] {
-        spread_digest(host);
+        broadcast_digest(host);
     });
 }
 
-void fleet::tell(std::size_t host, decide::event const& event)
+void fleet::handle_event(std::size_t host, decide::event const& event)
 {
     std::vector<decide::decision> decisions;
     m_hosts[host].policy.handle(event, m_queue.now(), decisions);
@@ -110,18 +111,19 @@
         if (cancelled == nullptr) {
             continue;
         }
-        // One that was moved to another upstream at once is not preempted.
-        send* const which = held(host, cancelled->id);
+        // A send that was dispatched to another upstream at once is not
+        // preempted.
+        send* const which = find_send(host, cancelled->id);
         if (which != nullptr && which->state == send_state::waiting) {
             m_auditor.preempted(*which, m_queue.now());
         }
     }
 }
 
-std::size_t fleet::arrive(planned_request const& plan,
-                          std::size_t caller,
-                          std::uint32_t number,
-                          std::size_t host)
+std::size_t fleet::add_request(planned_request const& plan,
+                               std::size_t caller,
+                               std::uint32_t number,
+                               std::size_t host)
 {
     send made;
     made.id.value = (static_cast<std::uint64_t>(host) + 1) << 32U;
@@ -133,17 +135,18 @@
     made.entry_host = host;
     made.serving_host = host;
     m_sends.push_back(made);
-    put_in_wait(m_sends.back());
-    tell(host, decide::request_arrived{describe(m_sends.back(), false)});
+    set_waiting(m_sends.back());
+    handle_event(host,
+                 decide::request_arrived{describe(m_sends.back(), false)});
     return m_sends.size() - 1;
 }
 
 decide::request fleet::describe(send const& which, bool handed_over) const
 {
     planned_request const& plan = *which.plan;
-    class_load const& load = m_where.loads[plan.load];
+    class_load const& load = m_deployment.loads[plan.load];
     lists::customer const& customer =
-        m_where.catalogue->plans().customers.front();
+        m_deployment.catalogue->plans().customers.front();
     decide::request made;
     made.id = which.id;
     made.customer = customer.name;
@@ -169,9 +172,9 @@
     }
     finish(gone, send_end::hung_up, {});
     m_hanging_up = true;
-    tell(gone.entry_host, decide::request_cancelled{gone.id});
+    handle_event(gone.entry_host, decide::request_cancelled{gone.id});
     if (gone.serving_host != gone.entry_host) {
-        tell(gone.serving_host, decide::request_cancelled{gone.id});
+        handle_event(gone.serving_host, decide::request_cancelled{gone.id});
     }
     m_hanging_up = false;
 }
@@ -179,21 +182,21 @@
 void fleet::give_up(std::size_t which)
 {
     send const& gone = m_sends[which];
-    m_violations.note("no_answer_in_time",
-                      m_where.loads[gone.plan->load].service_class);
+    m_violations.record("no_answer_in_time",
+                        m_deployment.loads[gone.plan->load].service_class);
     hang_up(which);
 }
 
-void fleet::put_in_wait(send& which)
+void fleet::set_waiting(send& which)
 {
     which.state = send_state::waiting;
     which.attempt = 0;
-    m_auditor.waits(which, m_queue.now());
+    m_auditor.add_waiting(which, m_queue.now());
 }
 
 void fleet::finish(send& which, send_end end, model::milliseconds retry_after)
 {
-    m_auditor.waits_no_more(which);
+    m_auditor.remove_waiting(which);
     which.state = send_state::done;
     which.end = end;
     which.ended = m_queue.now();
--- a/bench/policy_bench/fleet.hpp
+++ b/bench/policy_bench/fleet.hpp
@@ -19,23 +19,24 @@
 
 namespace caperjunction::bench {
 
-/// The hosts: each has a policy of its own, is told what the product's host
-/// would be told, and does what the policy decides.
+/// The hosts. Each has its own policy, passes it the events that a production
+/// host would, and executes its decisions.
 ///
 /// Thread safety: none.
 class fleet
 {
 public:
-    /// The final answer of a send; `retry_after` if it was told to come back.
+    /// Called with the final answer of a send; `retry_after` is set if the
+    /// caller may retry.
     using answer_hook =
         std::function<void(send const&, model::milliseconds retry_after)>;
 
-    /// A connection across a cut link is given up after this.
+    /// Timeout of a connection attempt across a cut link.
     static constexpr std::chrono::seconds connect_timeout{1};
-    /// Silence on an open connection or from a peer is noticed after this.
+    /// Timeout of a silent connection or peer.
     static constexpr std::chrono::seconds silence_timeout{3};
     static constexpr std::uint64_t bytes_per_prompt_token = 4;
-    /// An output token travels as an event of its own in the stream.
+    /// Each output token is sent as a separate event of the stream.
     static constexpr std::uint64_t bytes_per_output_token = 120;
     static constexpr std::uint64_t message_bytes = 400;
 
@@ -54,25 +55,25 @@
                model::time_point window_end,
                std::chrono::milliseconds digest_period);
 
-    /// No more ticks and digests.
+    /// Ends ticks and digests.
     void stop();
 
-    /// A caller's request reaches a host; returns its index in `sends()`.
-    std::size_t arrive(planned_request const& plan,
-                       std::size_t caller,
-                       std::uint32_t number,
-                       std::size_t host);
+    /// Passes a request to a host. Returns the index of the send in `sends()`.
+    std::size_t add_request(planned_request const& plan,
+                            std::size_t caller,
+                            std::uint32_t number,
+                            std::size_t host);
 
-    /// Nothing if the send has its final answer.
+    /// Cancels a send; no effect if it has its final answer.
     void hang_up(std::size_t which);
 
-    /// The same for a caller that has run out of patience: a violation.
+    /// Like `hang_up`, for a caller whose wait timed out; records a violation.
     void give_up(std::size_t which);
 
-    /// Tells a host's policy something and does what it decides.
-    void tell(std::size_t host, decide::event const& event);
+    /// Passes an event to a host's policy and executes its decisions.
+    void handle_event(std::size_t host, decide::event const& event);
 
-    /// Cuts the regions off from each other, or joins them.
+    /// Cuts or restores the link between the regions.
     void cut(bool is_cut);
 
     upstream_set& upstreams()
@@ -99,10 +100,10 @@
 
     upstream_hooks hooks_of(std::size_t upstream);
     void tick(std::size_t host);
-    void spread_digest(std::size_t host);
+    void broadcast_digest(std::size_t host);
     decide::request describe(send const& which, bool handed_over) const;
 
-    // What the policy of a host decided.
+    // Decisions of a host's policy.
     void apply(std::size_t host, decide::decision const& decision);
     void apply(std::size_t host, decide::dispatch const& decided);
     void apply(std::size_t host, decide::refuse const& decided);
@@ -112,26 +113,26 @@
                       send const* which,
                       decide::dispatch const& decided);
     void check_refusal(send const& which, decide::refuse const& decided);
-    /// Null, and a violation, if the host does not have it.
-    send* held(std::size_t host, model::request_id id);
-
-    // What upstreams say, and how it reaches the host and the caller.
-    void hand_to_upstream(std::uint64_t number,
-                          std::uint32_t priority,
-                          std::uint32_t resume_offset);
-    void take_tokens(std::uint64_t number, std::uint32_t tokens);
-    void take_end(std::uint64_t number, decide::attempt_end end);
-    void take_crash(std::size_t upstream);
+    /// Returns null and records a violation if the host does not have it.
+    send* find_send(std::size_t host, model::request_id id);
+
+    // Replies of upstreams, on their way to the host and the caller.
+    void submit_to_upstream(std::uint64_t number,
+                            std::uint32_t priority,
+                            std::uint32_t resume_offset);
+    void handle_tokens(std::uint64_t number, std::uint32_t tokens);
+    void handle_end(std::uint64_t number, decide::attempt_end end);
+    void handle_crash(std::size_t upstream);
     void relay(std::size_t which, std::uint32_t tokens);
     void complete(send& which);
 
-    // Requests on their way between hosts.
-    void take_over(std::size_t which, std::size_t host);
+    // Hand-overs between hosts.
+    void accept_hand_over(std::size_t which, std::size_t host);
     void hand_back(std::size_t which);
-    void break_attempts_across();
-    void break_hand_overs_across();
+    void break_cross_region_attempts();
+    void break_cross_region_hand_overs();
 
-    void put_in_wait(send& which);
+    void set_waiting(send& which);
     void finish(send& which, send_end end, model::milliseconds retry_after);
     std::uint64_t request_bytes(send const& which) const;
 
@@ -145,7 +146,7 @@
         return static_cast<std::size_t>(which.id.value & 0xffffffffULL) - 1;
     }
 
-    deployment const& m_where;
+    deployment const& m_deployment;
     event_queue& m_queue;
     network& m_network;
     auditor& m_auditor;
@@ -159,7 +160,7 @@
     model::time_point m_settled{};
     model::time_point m_window_end{};
     bool m_stopped = false;
-    /// The policy is being told that a caller is gone.
+    /// The policy is handling the cancellation of a request.
     bool m_hanging_up = false;
 };
 
--- a/bench/policy_bench/fleet_answers.cpp
+++ b/bench/policy_bench/fleet_answers.cpp
@@ -1,4 +1,5 @@
-// What upstreams and other hosts say, and how it reaches policy and caller.
+// Replies of upstreams and other hosts, and their delivery to policy and
+// caller.
 #include "bench/policy_bench/fleet.hpp"
 
 #include <fmt/format.h>
@@ -13,7 +14,7 @@
                        m_hosts[attempt_of(number).host].place,
                        bytes_per_output_token * count,
                        [this, number, count] {
-                           take_tokens(number, count);
+                           handle_tokens(number, count);
                        });
     };
     hooks.ended = [this, upstream](job_result const& result) {
@@ -22,32 +23,32 @@
                        m_hosts[attempt_of(result.attempt).host].place,
                        message_bytes,
                        [this, number = result.attempt, end = result.end] {
-                           take_end(number, end);
+                           handle_end(number, end);
                        });
     };
     hooks.crashed = [this, upstream] {
-        take_crash(upstream);
+        handle_crash(upstream);
     };
     return hooks;
 }
 
-void fleet::hand_to_upstream(std::uint64_t number,
-                             std::uint32_t priority,
-                             std::uint32_t resume_offset)
+void fleet::submit_to_upstream(std::uint64_t number,
+                               std::uint32_t priority,
+                               std::uint32_t resume_offset)
 {
     attempt const& made = attempt_of(number);
     send& which = m_sends[made.send];
     if (!m_upstreams.up(made.upstream)) {
-        m_network.send(
-            m_upstreams.where(made.upstream),
-            m_hosts[made.host].place,
-            message_bytes,
-            [this, number] {
-                take_end(number, decide::attempt_end::unreachable);
-                attempt const& lost = attempt_of(number);
-                tell(lost.host,
-                     decide::engine_lost{m_upstreams.name(lost.upstream)});
-            });
+        m_network.send(m_upstreams.where(made.upstream),
+                       m_hosts[made.host].place,
+                       message_bytes,
+                       [this, number] {
+                           handle_end(number, decide::attempt_end::unreachable);
+                           attempt const& lost = attempt_of(number);
+                           handle_event(lost.host,
+                                        decide::engine_lost{
+                                            m_upstreams.name(lost.upstream)});
+                       });
         return;
     }
     ++which.accepted;
@@ -67,7 +68,7 @@
     m_upstreams.engine(made.upstream).submit(job);
 }
 
-void fleet::take_tokens(std::uint64_t number, std::uint32_t tokens)
+void fleet::handle_tokens(std::uint64_t number, std::uint32_t tokens)
 {
     attempt& from = attempt_of(number);
     send& which = m_sends[from.send];
@@ -86,7 +87,7 @@
                            relay(index, tokens);
                        });
     }
-    tell(from.host, decide::tokens_relayed{which.id, tokens});
+    handle_event(from.host, decide::tokens_relayed{which.id, tokens});
 }
 
 void fleet::relay(std::size_t which, std::uint32_t tokens)
@@ -106,7 +107,7 @@
     }
 }
 
-void fleet::take_end(std::uint64_t number, decide::attempt_end end)
+void fleet::handle_end(std::uint64_t number, decide::attempt_end end)
 {
     attempt& ended = attempt_of(number);
     if (!ended.open) {
@@ -123,27 +124,28 @@
             if (end == decide::attempt_end::complete) {
                 complete(which);
             } else {
-                put_in_wait(which);
+                set_waiting(which);
             }
         }
     }
-    // A host that closed the connection itself hears of nothing else.
+    // A host that closed the connection itself only sees the cancellation.
     bool const cancelled = ended.abandoned;
-    tell(ended.host,
-         decide::attempt_ended{which.id,
-                               m_upstreams.name(ended.upstream),
-                               cancelled ? decide::attempt_end::cancelled : end,
-                               which.relayed,
-                               ended.result.cached_tokens});
+    handle_event(
+        ended.host,
+        decide::attempt_ended{which.id,
+                              m_upstreams.name(ended.upstream),
+                              cancelled ? decide::attempt_end::cancelled : end,
+                              which.relayed,
+                              ended.result.cached_tokens});
 }
 
 void fleet::complete(send& which)
 {
     if (which.relayed != which.plan->output_tokens) {
-        m_violations.note("truncated_answer",
-                          fmt::format("{} of {} tokens",
-                                      which.relayed,
-                                      which.plan->output_tokens));
+        m_violations.record("truncated_answer",
+                            fmt::format("{} of {} tokens",
+                                        which.relayed,
+                                        which.plan->output_tokens));
     }
     std::size_t const index = index_of(which);
     auto const hand_out = [this, index] {
@@ -164,7 +166,7 @@
                    hand_out);
 }
 
-void fleet::take_crash(std::size_t upstream)
+void fleet::handle_crash(std::size_t upstream)
 {
     std::vector<bool> concerned(m_hosts.size());
     for (attempt const& one : m_attempts) {
@@ -179,21 +181,21 @@
                            m_hosts[host].place,
                            message_bytes,
                            [this, host, lost] {
-                               tell(host, lost);
+                               handle_event(host, lost);
                            });
         }
     }
 }
 
-void fleet::take_over(std::size_t which, std::size_t host)
+void fleet::accept_hand_over(std::size_t which, std::size_t host)
 {
     send& taken = m_sends[which];
     if (taken.state == send_state::done) {
         return;
     }
     taken.serving_host = host;
-    put_in_wait(taken);
-    tell(host, decide::request_arrived{describe(taken, true)});
+    set_waiting(taken);
+    handle_event(host, decide::request_arrived{describe(taken, true)});
 }
 
 void fleet::hand_back(std::size_t which)
@@ -202,10 +204,10 @@
     if (back.state == send_state::done) {
         return;
     }
-    std::string const from = m_where.hosts[back.serving_host].name;
+    std::string const from = m_deployment.hosts[back.serving_host].name;
     back.serving_host = back.entry_host;
-    put_in_wait(back);
-    tell(back.entry_host, decide::hand_over_refused{back.id, from});
+    set_waiting(back);
+    handle_event(back.entry_host, decide::hand_over_refused{back.id, from});
 }
 
 void fleet::cut(bool is_cut)
@@ -216,20 +218,22 @@
         return;
     }
     m_queue.after(silence_timeout, [this] {
-        break_attempts_across();
-        break_hand_overs_across();
+        break_cross_region_attempts();
+        break_cross_region_hand_overs();
         for (std::size_t host = 0; host < m_hosts.size(); ++host) {
             for (std::size_t other = 0; other < m_hosts.size(); ++other) {
                 if (!m_network.reachable(m_hosts[host].place,
                                          m_hosts[other].place)) {
-                    tell(host, decide::host_lost{m_where.hosts[other].name});
+                    handle_event(
+                        host,
+                        decide::host_lost{m_deployment.hosts[other].name});
                 }
             }
         }
     });
 }
 
-void fleet::break_attempts_across()
+void fleet::break_cross_region_attempts()
 {
     std::size_t const count = m_attempts.size();
     for (std::uint64_t number = 1; number <= count; ++number) {
@@ -242,13 +246,13 @@
         if (one.upstream < m_upstreams.engine_count()) {
             m_upstreams.engine(one.upstream).cancel(number);
         }
-        take_end(number, decide::attempt_end::broken);
+        handle_end(number, decide::attempt_end::broken);
     }
 }
 
-// A hand-over across the cut: the entry host may serve it itself unless some
-// of the answer is out or a second run would do harm.
-void fleet::break_hand_overs_across()
+// The entry host may serve a request itself whose hand-over was cut off, unless
+// part of the answer was relayed or a second run would cause harm.
+void fleet::break_cross_region_hand_overs()
 {
     std::size_t const count = m_sends.size();
     for (std::size_t index = 0; index < count; ++index) {
@@ -259,10 +263,11 @@
             continue;
         }
         m_hanging_up = true;
-        tell(one.serving_host, decide::request_cancelled{one.id});
+        handle_event(one.serving_host, decide::request_cancelled{one.id});
         m_hanging_up = false;
-        m_auditor.waits_no_more(one);
-        bool const repeatable = m_where.loads[one.plan->load].service.empty();
+        m_auditor.remove_waiting(one);
+        bool const repeatable =
+            m_deployment.loads[one.plan->load].service.empty();
         if (one.relayed == 0 && (repeatable || one.accepted == 0)) {
             hand_back(index);
         } else {
--- a/bench/policy_bench/fleet_decisions.cpp
+++ b/bench/policy_bench/fleet_decisions.cpp
@@ -1,4 +1,4 @@
-// What the hosts' policies decided, as the product would carry it out.
+// Executes the decisions of the hosts' policies as a production host would.
 #include "bench/policy_bench/fleet.hpp"
 
 #include <fmt/format.h>
@@ -19,19 +19,19 @@
     } else if (auto const* move = std::get_if<decide::hand_over>(&decision)) {
         apply(host, *move);
     }
-    // The others change nothing outside: what a policy does about ejected
-    // engines and quarantined requests is its own affair, every engine has
-    // the one model of its deployment, and `queued` is for the log.
+    // Other decisions have no external effect: policies handle ejected engines
+    // and quarantined requests internally, each engine has the only model of
+    // its deployment, and `queued` is only logged.
 }
 
-send* fleet::held(std::size_t host, model::request_id id)
+send* fleet::find_send(std::size_t host, model::request_id id)
 {
     std::uint64_t const index = (id.value & 0xffffffffULL) - 1;
     bool const known = index < m_sends.size() && m_sends[index].id == id;
     if (!known || m_sends[index].serving_host != host) {
-        m_violations.note(
+        m_violations.record(
             "decision_for_another_hosts_request",
-            fmt::format("{} at {}", id.value, m_where.hosts[host].name));
+            fmt::format("{} at {}", id.value, m_deployment.hosts[host].name));
         return nullptr;
     }
     return &m_sends[index];
@@ -46,36 +46,37 @@
     }
     std::string const what = fmt::format("{} at {} to {}",
                                          decided.id.value,
-                                         m_where.hosts[host].name,
+                                         m_deployment.hosts[host].name,
                                          decided.upstream);
     if (m_upstreams.find(decided.upstream) == upstream_set::none) {
-        m_violations.note("dispatched_to_nowhere", what);
+        m_violations.record("dispatched_to_nowhere", what);
         return false;
     }
     if (which->state != send_state::waiting) {
-        m_violations.note(which->state == send_state::done
-                              ? "dispatched_after_final_answer"
-                              : "two_attempts_at_once",
-                          what);
+        m_violations.record(which->state == send_state::done
+                                ? "dispatched_after_final_answer"
+                                : "two_attempts_at_once",
+                            what);
         return false;
     }
-    bool const repeatable = m_where.loads[which->plan->load].service.empty();
+    bool const repeatable =
+        m_deployment.loads[which->plan->load].service.empty();
     if (!repeatable && which->accepted > 0) {
-        m_violations.note("second_run", what);
+        m_violations.record("second_run", what);
     }
     if (decided.resume_offset != which->relayed) {
-        m_violations.note("truncated_answer",
-                          fmt::format("{}: resumed at {}, but {} relayed",
-                                      what,
-                                      decided.resume_offset,
-                                      which->relayed));
+        m_violations.record("truncated_answer",
+                            fmt::format("{}: resumed at {}, but {} relayed",
+                                        what,
+                                        decided.resume_offset,
+                                        which->relayed));
     }
     return true;
 }
 
 void fleet::apply(std::size_t host, decide::dispatch const& decided)
 {
-    send* const which = held(host, decided.id);
+    send* const which = find_send(host, decided.id);
     if (!may_dispatch(host, which, decided)) {
         return;
     }
@@ -89,7 +90,7 @@
     ++which->attempts;
     which->state = send_state::running;
     m_auditor.dispatched(*which, m_queue.now());
-    m_auditor.waits_no_more(*which);
+    m_auditor.remove_waiting(*which);
     bool const sent =
         m_network.send(m_hosts[host].place,
                        m_upstreams.where(made.upstream),
@@ -98,12 +99,12 @@
                         number,
                         priority = decided.priority,
                         offset = decided.resume_offset] {
-                           hand_to_upstream(number, priority, offset);
+                           submit_to_upstream(number, priority, offset);
                        });
     if (!sent) {
         m_attempts.back().unsent = true;
         m_queue.after(connect_timeout, [this, number] {
-            take_end(number, decide::attempt_end::unreachable);
+            handle_end(number, decide::attempt_end::unreachable);
         });
     }
 }
@@ -112,28 +113,28 @@
 {
     std::string const what =
         fmt::format("{} of {}: {}",
-                    m_where.loads[which.plan->load].service_class,
-                    m_where.hosts[which.serving_host].name,
+                    m_deployment.loads[which.plan->load].service_class,
+                    m_deployment.hosts[which.serving_host].name,
                     decided.reason);
     if (decided.outcome == model::outcome::not_run && which.accepted > 0) {
-        m_violations.note("not_run_though_it_ran", what);
+        m_violations.record("not_run_though_it_ran", what);
     }
     if (which.relayed > 0 && !which.plan->killer) {
-        m_violations.note("truncated_answer", what);
+        m_violations.record("truncated_answer", what);
     }
     if (decided.remedy.empty()) {
-        m_violations.note("refusal_without_remedy", what);
+        m_violations.record("refusal_without_remedy", what);
     }
 }
 
 void fleet::apply(std::size_t host, decide::refuse const& decided)
 {
-    send* const which = held(host, decided.id);
+    send* const which = find_send(host, decided.id);
     if (which == nullptr || which->end == send_end::hung_up) {
         return;
     }
     if (which->state == send_state::done) {
-        m_violations.note("second_final_answer", decided.reason);
+        m_violations.record("second_final_answer", decided.reason);
         return;
     }
     check_refusal(*which, decided);
@@ -143,8 +144,8 @@
         attempt_of(which->attempt).abandoned = true;
     }
     if (host != which->entry_host && not_run) {
-        // The entry host still has it and may find it another place.
-        m_auditor.waits_no_more(*which);
+        // The entry host still has the request and may dispatch it elsewhere.
+        m_auditor.remove_waiting(*which);
         which->state = send_state::moving;
         m_network.send(m_hosts[host].place,
                        m_hosts[which->entry_host].place,
@@ -162,7 +163,7 @@
 
 void fleet::apply(std::size_t host, decide::cancel_attempt const& decided)
 {
-    send* const which = held(host, decided.id);
+    send* const which = find_send(host, decided.id);
     if (which == nullptr || which->attempt == 0) {
         return;
     }
@@ -170,7 +171,7 @@
     attempt& ended = attempt_of(number);
     ended.abandoned = true;
     if (which->state != send_state::done) {
-        put_in_wait(*which);
+        set_waiting(*which);
     }
     bool const is_engine = ended.upstream < m_upstreams.engine_count();
     bool const sent = m_network.send(
@@ -181,37 +182,39 @@
             if (is_engine) {
                 m_upstreams.engine(attempt_of(number).upstream).cancel(number);
             } else {
-                take_end(number, decide::attempt_end::cancelled);
+                handle_end(number, decide::attempt_end::cancelled);
             }
         });
     if (!sent) {
         m_queue.after(connect_timeout, [this, number] {
-            take_end(number, decide::attempt_end::cancelled);
+            handle_end(number, decide::attempt_end::cancelled);
         });
     }
 }
 
 void fleet::apply(std::size_t host, decide::hand_over const& decided)
 {
-    send* const which = held(host, decided.id);
-    auto const target = std::find_if(
-        m_where.hosts.begin(), m_where.hosts.end(), [&](auto const& one) {
-            return one.name == decided.host;
-        });
+    send* const which = find_send(host, decided.id);
+    auto const target = std::find_if(m_deployment.hosts.begin(),
+                                     m_deployment.hosts.end(),
+                                     [&](auto const& one) {
+                                         return one.name == decided.host;
+                                     });
     if (which == nullptr || which->state != send_state::waiting
-        || which->entry_host != host || target == m_where.hosts.end()) {
-        m_violations.note("hand_over_out_of_place", decided.reason);
+        || which->entry_host != host || target == m_deployment.hosts.end()) {
+        m_violations.record("hand_over_out_of_place", decided.reason);
         return;
     }
     std::size_t const index = index_of(*which);
-    auto const to = static_cast<std::size_t>(target - m_where.hosts.begin());
-    m_auditor.waits_no_more(*which);
+    auto const to =
+        static_cast<std::size_t>(target - m_deployment.hosts.begin());
+    m_auditor.remove_waiting(*which);
     which->state = send_state::moving;
     bool const sent = m_network.send(m_hosts[host].place,
                                      m_hosts[to].place,
                                      request_bytes(*which),
                                      [this, index, to] {
-                                         take_over(index, to);
+                                         accept_hand_over(index, to);
                                      });
     if (!sent) {
         m_queue.after(connect_timeout, [this, index] {
--- a/bench/policy_bench/job_result.hpp
+++ b/bench/policy_bench/job_result.hpp
@@ -7,7 +7,7 @@
 
 namespace caperjunction::bench {
 
-/// How an upstream ended one attempt and what it computed for it.
+/// How an attempt ended at an upstream, and the work computed for it.
 struct job_result
 {
     std::uint64_t attempt = 0;
--- a/bench/policy_bench/main.cpp
+++ b/bench/policy_bench/main.cpp
@@ -16,14 +16,23 @@
 #include <string>
 #include <vector>
 
-ABSL_FLAG(std::string, deployment, "kitanomine", "names, or all");
-ABSL_FLAG(std::string, scenario, "steady", "names, or all");
-ABSL_FLAG(std::string, policy, "caperjunction", "names, or all");
-ABSL_FLAG(std::string, seed, "1", "one seed, or several with commas");
-ABSL_FLAG(std::string, seeds, "", "the same; goes before --seed");
+ABSL_FLAG(std::string,
+          deployment,
+          "kitanomine",
+          "comma-separated names, or all");
+ABSL_FLAG(std::string, scenario, "steady", "comma-separated names, or all");
+ABSL_FLAG(std::string,
+          policy,
+          "caperjunction",
+          "comma-separated names, or all");
+ABSL_FLAG(std::string, seed, "1", "comma-separated seeds");
+ABSL_FLAG(std::string, seeds, "", "same as --seed; takes precedence over it");
 ABSL_FLAG(std::string, format, "table", "table, json, markdown or reach");
-ABSL_FLAG(int, digest_period, 200, "milliseconds between a host's digests");
-ABSL_FLAG(bool, list, false, "print all names and end");
+ABSL_FLAG(int,
+          digest_period,
+          200,
+          "interval between digests of a host in milliseconds");
+ABSL_FLAG(bool, list, false, "print all names and exit");
 
 namespace {
 
@@ -48,7 +57,7 @@
     }
     throw model::error(model::error_kind::bad_settings,
                        "there is no format '" + name + "'",
-                       "name table, json, markdown or reach");
+                       "use table, json, markdown or reach");
 }
 
 void run_program()
@@ -85,12 +94,12 @@
     try {
         run_program();
         return 0;
-    } catch (model::error const& wrong) {
+    } catch (model::error const& failure) {
         fmt::print(stderr,
                    "error={} message=\"{}\" remedy=\"{}\"\n",
-                   model::to_string(wrong.kind()),
-                   wrong.what(),
-                   wrong.remedy());
+                   model::to_string(failure.kind()),
+                   failure.what(),
+                   failure.remedy());
         return 2;
     }
 }
--- a/bench/policy_bench/network.hpp
+++ b/bench/policy_bench/network.hpp
@@ -10,8 +10,8 @@
 
 namespace caperjunction::bench {
 
-/// A delay between any two places, and one link between the two regions
-/// whose rate in each direction all traffic shares. Nothing more.
+/// Models a delay between any two places, and one link between the two regions
+/// with a shared rate in each direction. Models no other effect.
 ///
 /// Thread safety: none.
 class network
@@ -22,20 +22,20 @@
         std::chrono::nanoseconds same_data_centre{200'000};
         std::chrono::nanoseconds same_region{1'000'000};
         std::chrono::nanoseconds other_region{12'000'000};
-        /// Bytes a second in each direction between the regions.
+        /// Bytes per second in each direction between the regions.
         double link_rate = 1.25e6;
     };
 
     network(delays settings, event_queue& queue);
 
-    /// Calls `arrive` when the message is there; false, and no call, while
-    /// the link that it needs is cut.
+    /// Calls `on_arrival` when the message arrives. Returns false without a
+    /// call if the required link is cut.
     bool send(place const& from,
               place const& to,
               std::uint64_t bytes,
-              event_queue::action arrive);
+              event_queue::action on_arrival);
 
-    /// Whether a message could be sent now.
+    /// Returns whether a message can be sent now.
     bool reachable(place const& from, place const& to) const;
 
     void cut(bool is_cut);
@@ -48,7 +48,7 @@
 private:
     delays m_delays;
     event_queue& m_queue;
-    std::array<model::time_point, 2> m_free{};
+    std::array<model::time_point, 2> m_link_free_at{};
     std::uint64_t m_bytes = 0;
     bool m_cut = false;
 };
--- a/bench/policy_bench/place.hpp
+++ b/bench/policy_bench/place.hpp
@@ -5,7 +5,7 @@
 
 namespace caperjunction::bench {
 
-/// Where something stands, by index in its deployment.
+/// Region and data centre of a host or upstream, as indices in its deployment.
 struct place
 {
     std::size_t region = 0;
--- a/bench/policy_bench/planned_request.hpp
+++ b/bench/policy_bench/planned_request.hpp
@@ -9,8 +9,8 @@
 
 namespace caperjunction::bench {
 
-/// One thing that a caller wants, drawn before the run, so that every policy
-/// meets the same callers.
+/// One request of a caller, generated before the run so that each policy gets
+/// the same load.
 struct planned_request
 {
     model::time_point when{};
@@ -22,9 +22,9 @@
     std::vector<std::uint64_t> prefix_blocks;
     std::uint64_t fingerprint = 0;
     std::chrono::nanoseconds call_length{0};
-    /// Picks the host of each send.
+    /// Random value that selects the host of each send.
     std::uint64_t balancer = 0;
-    /// After this the caller hangs up, whatever it has got.
+    /// Time after which the caller hangs up, even during an answer.
     std::chrono::nanoseconds hangs_up_after{std::chrono::nanoseconds::max()};
     bool killer = false;
 };
--- a/bench/policy_bench/policy.cpp
+++ b/bench/policy_bench/policy.cpp
@@ -39,7 +39,7 @@
     }
     throw model::error(model::error_kind::bad_settings,
                        "there is no policy '" + std::string(name) + "'",
-                       "name one of those that --list prints");
+                       "use a name that --list prints");
 }
 
 std::vector<std::string> policy_names()
--- a/bench/policy_bench/policy.hpp
+++ b/bench/policy_bench/policy.hpp
@@ -13,9 +13,8 @@
 
 namespace caperjunction::bench {
 
-/// One host's decisions, whoever makes them. All that a policy is given is
-/// its settings and the events, which are copies made for it: there is no
-/// path from here to an engine, a caller or another host.
+/// Decision logic of one host. A policy only gets its settings and events, and
+/// both are copies: it has no access to an engine, a caller or another host.
 struct policy
 {
     std::function<void(decide::event const&,
@@ -25,7 +24,7 @@
     std::function<std::vector<std::uint8_t>(model::time_point)> digest;
 };
 
-/// Makes one host's policy.
+/// Creates the policy of one host.
 using policy_maker = std::function<policy(decide::router_settings const&)>;
 
 /// \throws model::error if there is no policy of that name.
--- a/bench/policy_bench/prefix_cache.cpp
+++ b/bench/policy_bench/prefix_cache.cpp
@@ -6,23 +6,23 @@
 
 std::size_t prefix_cache::match(std::vector<std::uint64_t> const& blocks)
 {
-    std::size_t held = 0;
+    std::size_t matched = 0;
     for (std::uint64_t const block : blocks) {
         auto const found = m_places.find(block);
         if (found == m_places.end()) {
             break;
         }
         m_order.splice(m_order.begin(), m_order, found->second);
-        ++held;
+        ++matched;
     }
-    return held;
+    return matched;
 }
 
 void prefix_cache::store(std::vector<std::uint64_t> const& blocks,
                          std::size_t limit)
 {
-    // From the end, so that the leading blocks, which others share, count as
-    // the last used and are evicted last.
+    // Stores in reverse order, so that the leading blocks, which other prompts
+    // share, are the most recently used and evicted last.
     for (auto block = blocks.rbegin(); block != blocks.rend(); ++block) {
         auto const found = m_places.find(*block);
         if (found != m_places.end()) {
--- a/bench/policy_bench/prefix_cache.hpp
+++ b/bench/policy_bench/prefix_cache.hpp
@@ -9,20 +9,20 @@
 
 namespace caperjunction::bench {
 
-/// Blocks of prompt prefixes that an engine keeps, the longest unused going
-/// first when there is no room.
+/// LRU cache of the prompt prefix blocks of an engine.
 ///
 /// Thread safety: none.
 class prefix_cache
 {
 public:
-    /// Leading blocks that are held; they count as used now.
+    /// Returns the number of leading blocks in the cache and marks them as
+    /// used.
     std::size_t match(std::vector<std::uint64_t> const& blocks);
 
-    /// Keeps these blocks, and no more than `limit` in all.
+    /// Stores these blocks; evicts blocks beyond `limit` in total.
     void store(std::vector<std::uint64_t> const& blocks, std::size_t limit);
 
-    /// Drops the longest unused beyond `limit`.
+    /// Evicts the least recently used blocks beyond `limit`.
     void shrink(std::size_t limit);
 
     void clear();
@@ -32,7 +32,7 @@
         return m_order.size();
     }
 
-    /// What was stored and evicted since the last call.
+    /// Return the blocks stored and evicted since the last call.
     std::vector<std::uint64_t> take_stored();
     std::vector<std::uint64_t> take_evicted();
 
--- a/bench/policy_bench/random_source.hpp
+++ b/bench/policy_bench/random_source.hpp
@@ -8,9 +8,9 @@
 
 namespace caperjunction::bench {
 
-/// Random numbers from one seed. The distributions are worked out here: the
-/// standard library's differ from one version to the next, and a golden file
-/// must not.
+/// Random numbers from one seed. The distributions are implemented here because
+/// those of the standard library differ between versions, which would change
+/// the golden files.
 ///
 /// Thread safety: none.
 class random_source
@@ -26,7 +26,7 @@
         return m_engine();
     }
 
-    /// In [0, 1).
+    /// Returns a value in [0, 1).
     double uniform()
     {
         return static_cast<double>(m_engine() >> 11) * 0x1.0p-53;
@@ -37,7 +37,8 @@
         return -mean * std::log1p(-uniform());
     }
 
-    /// Lognormal with the given mean; `sigma` is that of the logarithm.
+    /// Returns a lognormal value with the given mean; `sigma` is the standard
+    /// deviation of the logarithm.
     double lognormal(double mean, double sigma)
     {
         constexpr double two_pi = 6.283185307179586;
@@ -46,7 +47,7 @@
         return mean * std::exp(sigma * normal - sigma * sigma / 2.0);
     }
 
-    /// An index, each as likely as its weight says.
+    /// Returns a random index with a probability proportional to its weight.
     std::size_t pick(std::vector<double> const& weights)
     {
         double sum = 0.0;
@@ -54,10 +55,10 @@
             sum += weight;
         }
         double left = uniform() * sum;
-        for (std::size_t place = 0; place + 1 < weights.size(); ++place) {
-            left -= weights[place];
+        for (std::size_t index = 0; index + 1 < weights.size(); ++index) {
+            left -= weights[index];
             if (left < 0.0) {
-                return place;
+                return index;
             }
         }
         return weights.size() - 1;
--- a/bench/policy_bench/reach.cpp
+++ b/bench/policy_bench/reach.cpp
@@ -7,30 +7,30 @@
 namespace caperjunction::bench {
 namespace {
 
-constexpr double top_tier_reach = 0.99;
-constexpr double goodput_reach = 0.9;
-constexpr double over_round_robin = 2.0;
-constexpr double wasted_reach = 0.01;
-constexpr double wasted_by_killer = 0.03;
-constexpr double cross_region_share = 0.5;
+constexpr double top_tier_target = 0.99;
+constexpr double goodput_target = 0.9;
+constexpr double min_gain_over_round_robin = 2.0;
+constexpr double max_wasted = 0.01;
+constexpr double max_wasted_with_killer = 0.03;
+constexpr double max_cross_region_share = 0.5;
 
 using miss_list = std::vector<std::string>;
 
-// In saturation a class is beyond its share unless its tier is the highest.
+// In saturation, a class exceeds its share unless its tier is the highest.
 void check_classes(run_result const& run, miss_list& misses)
 {
     std::string const& top = run.classes.front().tier;
     for (class_result const& one : run.classes) {
         bool const is_top = one.tier == top;
-        double wanted = one.fits_share ? one.promised : 0.0;
+        double required = one.fits_share ? one.promised : 0.0;
         if (is_top) {
-            wanted = std::max(one.promised, top_tier_reach);
+            required = std::max(one.promised, top_tier_target);
         }
-        if (one.attainment() < wanted) {
+        if (one.attainment() < required) {
             misses.push_back(fmt::format("{} attained {:.4f} of {:.2f}",
                                          one.name,
                                          one.attainment(),
-                                         wanted));
+                                         required));
         }
     }
 }
@@ -38,13 +38,14 @@
 void check_shares(run_result const& run, miss_list& misses)
 {
     for (tier_result const& one : run.tiers) {
-        double const wanted = std::min(one.guaranteed, one.demanded);
-        // A demand within the share is judged by its classes' promises.
-        if (one.demanded > one.guaranteed && one.delivered < wanted) {
+        double const required = std::min(one.guaranteed, one.demanded);
+        // A demand within the share is checked by the attainment of its
+        // classes.
+        if (one.demanded > one.guaranteed && one.delivered < required) {
             misses.push_back(fmt::format("tier {} got {:.3f} of its {:.2f}",
                                          one.name,
                                          one.delivered,
-                                         wanted));
+                                         required));
         }
     }
 }
@@ -54,18 +55,19 @@
                       miss_list& misses)
 {
     check_shares(run, misses);
-    if (run.goodput_ratio < goodput_reach) {
+    if (run.goodput_ratio < goodput_target) {
         misses.push_back(fmt::format("goodput {:.3f}", run.goodput_ratio));
     }
     for (run_result const* other : baselines) {
-        double const wanted =
+        double const required =
             other->goodput_ratio
-            * (other->policy == "round_robin" ? over_round_robin : 1.0);
-        if (run.goodput_ratio < wanted) {
+            * (other->policy == "round_robin" ? min_gain_over_round_robin
+                                              : 1.0);
+        if (run.goodput_ratio < required) {
             misses.push_back(fmt::format("goodput {:.3f}, {} sets {:.3f}",
                                          run.goodput_ratio,
                                          other->policy,
-                                         wanted));
+                                         required));
         }
     }
 }
@@ -75,18 +77,18 @@
                  miss_list& misses)
 {
     double allowed =
-        run.scenario == "killer_request" ? wasted_by_killer : wasted_reach;
-    std::string setter = "the reach";
+        run.scenario == "killer_request" ? max_wasted_with_killer : max_wasted;
+    std::string source = "the reach";
     for (run_result const* other : baselines) {
         if (other->wasted_ratio < allowed) {
             allowed = other->wasted_ratio;
-            setter = other->policy;
+            source = other->policy;
         }
     }
     if (run.wasted_ratio > allowed) {
         misses.push_back(fmt::format("wasted {:.4f}, {} sets {:.4f}",
                                      run.wasted_ratio,
-                                     setter,
+                                     source,
                                      allowed));
     }
 }
@@ -96,8 +98,8 @@
                  miss_list& misses)
 {
     for (run_result const* other : baselines) {
-        double const allowed =
-            cross_region_share * static_cast<double>(other->cross_region_bytes);
+        double const allowed = max_cross_region_share
+                               * static_cast<double>(other->cross_region_bytes);
         if (other->policy == "least_outstanding"
             && static_cast<double>(run.cross_region_bytes) > allowed) {
             misses.push_back(fmt::format("{} cross-region bytes of {:.0f}",
@@ -144,14 +146,14 @@
 {
     std::string text;
     int runs = 0;
-    int whole = 0;
+    int passed = 0;
     for (run_result const& run : results) {
         if (run.policy != "caperjunction") {
             continue;
         }
         auto const misses = find_misses(run, find_baselines(run, results));
         ++runs;
-        whole += misses.empty() ? 1 : 0;
+        passed += misses.empty() ? 1 : 0;
         for (std::string const& miss : misses) {
             text += fmt::format("{} {} seed {}: {}\n",
                                 run.deployment,
@@ -160,7 +162,7 @@
                                 miss);
         }
     }
-    return text + fmt::format("{} of {} runs within reach\n", whole, runs);
+    return text + fmt::format("{} of {} runs within reach\n", passed, runs);
 }
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/reach.hpp
+++ b/bench/policy_bench/reach.hpp
@@ -8,12 +8,13 @@
 
 namespace caperjunction::bench {
 
-/// What the runs of the policy `caperjunction` are meant to reach and miss,
-/// one line each; a last line counts. Comparisons with the baselines are made
-/// where `results` holds their runs of the same scenario and seed.
+/// Returns one line per target that a run of the policy `caperjunction` misses,
+/// and a last line with counts. Runs are compared with the baselines if
+/// `results` has their runs of the same deployment, scenario and seed.
 std::string to_reach(std::vector<run_result> const& results);
 
-/// The misses of one run, beside the baselines' runs of the same.
+/// Returns the missed targets of one run, compared with the baselines' runs of
+/// the same deployment, scenario and seed.
 std::vector<std::string>
 find_misses(run_result const& run,
             std::vector<run_result const*> const& baselines);
--- a/bench/policy_bench/region_result.hpp
+++ b/bench/policy_bench/region_result.hpp
@@ -6,7 +6,7 @@
 
 namespace caperjunction::bench {
 
-/// What callers of one region got who came in the scenario's window.
+/// Results of the callers of one region that arrived in the scenario's window.
 struct region_result
 {
     std::string name;
--- a/bench/policy_bench/report.cpp
+++ b/bench/policy_bench/report.cpp
@@ -10,7 +10,7 @@
 
 using json = nlohmann::ordered_json;
 
-// More digits would differ between processors, and say nothing.
+// Further digits are not significant and differ between processors.
 double rounded(double value)
 {
     constexpr double grain = 1e6;
--- a/bench/policy_bench/report.hpp
+++ b/bench/policy_bench/report.hpp
@@ -8,10 +8,10 @@
 
 namespace caperjunction::bench {
 
-/// One object for one run, an array for several.
+/// Returns one object for a single run, an array for several.
 std::string to_json(std::vector<run_result> const& results);
 
-/// A line for each class of each run, and one for the run itself.
+/// Returns a summary line per run, and a line per class, tier and violation.
 std::string to_table(std::vector<run_result> const& results);
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/run_plan.cpp
+++ b/bench/policy_bench/run_plan.cpp
@@ -30,8 +30,8 @@
         std::uint64_t seed = 0;
         if (!absl::SimpleAtoi(word, &seed)) {
             throw model::error(model::error_kind::bad_settings,
-                               fmt::format("'{}' is no seed", text),
-                               "give whole numbers from 0, parted by commas");
+                               fmt::format("'{}' is not a list of seeds", text),
+                               "use comma-separated whole numbers from 0");
         }
         seeds.push_back(seed);
     }
@@ -50,8 +50,8 @@
     plan.scenarios = parse_names(scenarios, scenario_names());
     plan.policies = parse_names(policies, policy_names());
     plan.seeds = parse_seeds(seeds);
-    // All names are looked up before the first run: a misspelt last one must
-    // not show only after minutes.
+    // Checks all names before the first run; otherwise an error in the last
+    // name is reported only after minutes.
     for (std::string const& name : plan.deployments) {
         make_deployment(name);
     }
--- a/bench/policy_bench/run_plan.hpp
+++ b/bench/policy_bench/run_plan.hpp
@@ -10,8 +10,8 @@
 
 namespace caperjunction::bench {
 
-/// The runs that a command line asks for: each deployment with each scenario,
-/// policy and seed.
+/// The runs of a command line: each deployment with each scenario, policy and
+/// seed.
 struct run_plan
 {
     std::vector<std::string> deployments;
@@ -21,9 +21,8 @@
     std::chrono::milliseconds digest_period{200};
 };
 
-/// Fills a plan from switches; `all` stands for every name there is, and
-/// commas part several.
-/// \throws model::error naming the remedy for a name that does not exist.
+/// Parses flags with comma-separated values; `all` selects every name.
+/// \throws model::error with a remedy if a name does not exist.
 run_plan parse_plan(std::string const& deployments,
                     std::string const& scenarios,
                     std::string const& policies,
@@ -31,7 +30,7 @@
 
 std::vector<run_result> run(run_plan const& plan);
 
-/// What `--list` prints.
+/// Returns the text that `--list` prints.
 std::string list_names();
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/run_result.hpp
+++ b/bench/policy_bench/run_result.hpp
@@ -14,10 +14,10 @@
 
 /// The outcome of one run.
 ///
-/// Work is counted in output tokens; a prompt token counts for as many as an
-/// engine with a full batch puts out in the time that it takes in one prompt
-/// token (0.133), whether or not the cache held it. Capacity is what all
-/// engines do with full batches and nothing cached.
+/// Work is measured in output tokens. A prompt token counts as many as an
+/// engine with a full batch generates in the time of one prompt token (0.133),
+/// whether or not it was cached. Capacity is the work of all engines with full
+/// batches and empty caches.
 struct run_result
 {
     std::string deployment;
@@ -27,12 +27,12 @@
     std::vector<class_result> classes;
     std::vector<tier_result> tiers;
     std::vector<region_result> regions;
-    /// Work delivered within target over the smaller of the work demanded
-    /// and the capacity while requests came. Where capacity is the smaller,
-    /// only what was delivered in that time counts.
+    /// Work delivered within targets, divided by the smaller of the demanded
+    /// work and the capacity until the end of new requests. If the capacity is
+    /// smaller, only work delivered until then counts.
     double goodput_ratio = 0.0;
-    /// Work computed that did not become part of an answer which its caller
-    /// took, over all computed.
+    /// Share of the computed work that did not become part of an answer that
+    /// its caller received.
     double wasted_ratio = 0.0;
     std::uint64_t cross_region_bytes = 0;
     std::uint32_t engines_lost = 0;
--- a/bench/policy_bench/scenario.cpp
+++ b/bench/policy_bench/scenario.cpp
@@ -16,7 +16,7 @@
     all[2].name = "skew";
     all[2].flood = 4.0;
     all[3].name = "slow_engine";
-    all[3].slowness = 4.0;
+    all[3].slowdown = 4.0;
     all[3].until = scenario::seconds{90};
     all[4].name = "mixed_lengths";
     all[4].mixed_lengths = true;
@@ -42,7 +42,7 @@
     if (found == all.end()) {
         throw model::error(model::error_kind::bad_settings,
                            "there is no scenario '" + std::string(name) + "'",
-                           "name one of those that --list prints");
+                           "use a name that --list prints");
     }
     return *found;
 }
--- a/bench/policy_bench/scenario.hpp
+++ b/bench/policy_bench/scenario.hpp
@@ -9,44 +9,46 @@
 
 namespace caperjunction::bench {
 
-/// What callers do and what goes wrong in one run. Times are from its start.
+/// Load and faults of one run. Times are relative to its start.
 struct scenario
 {
     using seconds = std::chrono::seconds;
 
     std::string name;
-    /// New requests come this long; the run goes on until all are answered.
+    /// Duration of new requests; the run continues until all are answered.
     seconds length{120};
-    /// The window of whatever is the matter.
+    /// Time window of the fault or additional load.
     seconds from{30};
     seconds until{60};
-    /// Demand over the whole run, as a multiple of the deployment's usual.
+    /// Demand over the complete run, as a multiple of the deployment's normal
+    /// demand.
     double load = 1.0;
-    /// Demand over the whole run, as a multiple of capacity; goes before
-    /// `load` if it is set.
+    /// Demand over the complete run, as a multiple of capacity; takes
+    /// precedence over `load` if set.
     double load_of_capacity = 0.0;
-    /// In the window, one class comes this many times as often.
+    /// Factor of the request rate of one class in the window.
     double burst = 1.0;
-    /// In the window, the largest team sends so much more of one class than
-    /// all teams together usually do.
+    /// Additional requests of one class that the largest team sends in the
+    /// window, as a multiple of the normal rate of all teams.
     double flood = 0.0;
-    /// In the window, one engine's steps take so many times as long, and all
-    /// load reports lag further.
-    double slowness = 1.0;
-    /// A few answers are very long and most short, with the same mean.
+    /// Factor of the step duration of one engine in the window; all load
+    /// reports are delayed further as well.
+    double slowdown = 1.0;
+    /// A few answers are very long and most are short, with the same mean.
     bool mixed_lengths = false;
-    /// In the window, one caller sends a request that crashes engines, and
-    /// sends it again whenever it fails.
+    /// At the start of the window, one caller sends a request that crashes
+    /// engines, and sends it again whenever it fails.
     bool killer = false;
-    /// In the window, nothing passes between the regions.
+    /// The link between the regions is cut in the window.
     bool cut = false;
-    /// How often a caller that was refused sends again, as it was told to.
+    /// Maximum number of retries of a refused caller after the `Retry-After`.
     std::uint32_t resends = 2;
-    /// How often each host tells the others its load.
+    /// Interval at which each host sends its load to the others.
     std::chrono::milliseconds digest_period{200};
 
-    /// From here on the tiers' shares are measured: the first answers take a
-    /// while, and a long answer's share comes late only because it is long.
+    /// Returns the start of the measurement of the tiers' shares. The first
+    /// answers take a while, and the work of a long answer is delivered late
+    /// only because it is long.
     std::chrono::seconds settled() const
     {
         return length / 5;
--- a/bench/policy_bench/score.cpp
+++ b/bench/policy_bench/score.cpp
@@ -11,41 +11,41 @@
              std::uint64_t seed,
              callers const& from,
              fleet const& hosts)
-    : m_where(where)
-    , m_what(what)
+    : m_deployment(where)
+    , m_scenario(what)
     , m_seed(seed)
-    , m_from(from)
-    , m_hosts(hosts)
+    , m_callers(from)
+    , m_fleet(hosts)
 {
 }
 
 model::time_point score::window_end() const
 {
-    return model::time_point{} + m_what.length;
+    return model::time_point{} + m_scenario.length;
 }
 
 double score::capacity() const
 {
-    return m_where.capacity() * model::seconds(m_what.length).count();
+    return m_deployment.capacity() * model::seconds(m_scenario.length).count();
 }
 
 bool score::in_time(caller const& who) const
 {
-    send const& last = m_hosts.sends()[who.send];
+    send const& last = m_fleet.sends()[who.send];
     return last.end == send_end::ran
            && last.first_token - who.plan->when
-                  <= m_where.class_of(who.plan->load).first_token_target;
+                  <= m_deployment.class_of(who.plan->load).first_token_target;
 }
 
 bool score::within(caller const& who) const
 {
-    send const& last = m_hosts.sends()[who.send];
+    send const& last = m_fleet.sends()[who.send];
     if (!in_time(who)) {
         return false;
     }
     return last.relayed < 2
            || (last.last_token - last.first_token) / (last.relayed - 1)
-                  <= m_where.class_of(who.plan->load).inter_token_target;
+                  <= m_deployment.class_of(who.plan->load).inter_token_target;
 }
 
 bool score::left_in_time(caller const& who) const
@@ -53,54 +53,54 @@
     if (!who.left) {
         return false;
     }
-    send const& last = m_hosts.sends()[who.send];
+    send const& last = m_fleet.sends()[who.send];
     model::time_point const until =
         last.has_answer() ? last.first_token
                           : who.plan->when + who.plan->hangs_up_after;
     return until - who.plan->when
-           <= m_where.class_of(who.plan->load).first_token_target;
+           <= m_deployment.class_of(who.plan->load).first_token_target;
 }
 
 double score::work_of(caller const& who) const
 {
-    return m_where.work(who.plan->prompt_tokens, who.plan->output_tokens);
+    return m_deployment.work(who.plan->prompt_tokens, who.plan->output_tokens);
 }
 
 double score::work_in_window(send const& which) const
 {
     bool const begun = which.has_answer() && which.first_token <= window_end();
-    return m_where.work(begun ? which.plan->prompt_tokens : 0,
-                        which.relayed_in_window);
+    return m_deployment.work(begun ? which.plan->prompt_tokens : 0,
+                             which.relayed_in_window);
 }
 
 double score::settled_work(send const& which) const
 {
     bool const begun =
         which.has_answer() && which.first_token <= window_end()
-        && which.first_token >= model::time_point{} + m_what.settled();
-    return m_where.work(begun ? which.plan->prompt_tokens : 0,
-                        which.relayed_settled);
+        && which.first_token >= model::time_point{} + m_scenario.settled();
+    return m_deployment.work(begun ? which.plan->prompt_tokens : 0,
+                             which.relayed_settled);
 }
 
 class_result score::describe(std::size_t load) const
 {
     class_result made;
-    made.name = m_where.loads[load].service_class;
-    made.tier = m_where.tier_of(load).name;
-    made.promised = m_where.class_of(load).promised_attainment;
+    made.name = m_deployment.loads[load].service_class;
+    made.tier = m_deployment.tier_of(load).name;
+    made.promised = m_deployment.class_of(load).promised_attainment;
     double share = 0.0;
-    for (std::size_t other = 0; other < m_where.loads.size(); ++other) {
-        if (m_where.tier_of(other).name == made.tier) {
-            share += peak_share(m_where, m_what, m_seed, other);
+    for (std::size_t other = 0; other < m_deployment.loads.size(); ++other) {
+        if (m_deployment.tier_of(other).name == made.tier) {
+            share += peak_share(m_deployment, m_scenario, m_seed, other);
         }
     }
-    made.fits_share = share <= m_where.tier_of(load).guaranteed_share;
+    made.fits_share = share <= m_deployment.tier_of(load).guaranteed_share;
     return made;
 }
 
 void score::count(caller const& who, class_result& into) const
 {
-    send_end const end = m_hosts.sends()[who.send].end;
+    send_end const end = m_fleet.sends()[who.send].end;
     ++into.offered;
     into.served += end == send_end::ran ? 1 : 0;
     into.refused += end == send_end::refused ? 1 : 0;
@@ -119,14 +119,14 @@
 score::work_sums score::sum_work() const
 {
     work_sums sums;
-    for (caller const& who : m_from.all()) {
+    for (caller const& who : m_callers.all()) {
         if (who.plan->killer || left_in_time(who)) {
             continue;
         }
         sums.demanded += work_of(who);
         if (within(who)) {
             sums.in_time += work_of(who);
-            sums.in_time_in_window += work_in_window(m_hosts.sends()[who.send]);
+            sums.in_time_in_window += work_in_window(m_fleet.sends()[who.send]);
         }
     }
     return sums;
@@ -134,25 +134,26 @@
 
 double score::wasted() const
 {
-    std::vector<bool> begun(m_hosts.sends().size());
+    std::vector<bool> begun(m_fleet.sends().size());
     double computed = 0.0;
     double useful = 0.0;
-    for (attempt const& one : m_hosts.attempts()) {
-        computed += m_where.work(one.result.computed_prompt,
-                                 one.result.computed_output);
-        send const& whose = m_hosts.sends()[one.send];
+    for (attempt const& one : m_fleet.attempts()) {
+        computed += m_deployment.work(one.result.computed_prompt,
+                                      one.result.computed_output);
+        send const& whose = m_fleet.sends()[one.send];
         bool const taken =
             whose.end == send_end::ran || whose.end == send_end::hung_up;
         if (!taken || one.relayed == 0) {
             continue;
         }
-        // A prompt taken in again for a resumed answer is work done twice.
+        // A prompt that is prefilled again for a resumed answer is duplicate
+        // work.
         std::uint32_t const prompt = begun[one.send]
                                          ? 0
                                          : std::min(one.result.computed_prompt,
                                                     whose.plan->prompt_tokens);
         begun[one.send] = true;
-        useful += m_where.work(prompt, one.relayed);
+        useful += m_deployment.work(prompt, one.relayed);
     }
     return computed > 0.0 ? (computed - useful) / computed : 0.0;
 }
@@ -161,20 +162,20 @@
 {
     double const settled_share =
         1.0
-        - std::chrono::duration<double>(m_what.settled())
-              / std::chrono::duration<double>(m_what.length);
+        - std::chrono::duration<double>(m_scenario.settled())
+              / std::chrono::duration<double>(m_scenario.length);
     std::vector<tier_result> all;
-    for (lists::tier const& tier : m_where.catalogue->plans().tiers) {
+    for (lists::tier const& tier : m_deployment.catalogue->plans().tiers) {
         tier_result made;
         made.name = tier.name;
         made.guaranteed = tier.guaranteed_share;
-        for (caller const& who : m_from.all()) {
-            if (m_where.tier_of(who.plan->load).name != tier.name
+        for (caller const& who : m_callers.all()) {
+            if (m_deployment.tier_of(who.plan->load).name != tier.name
                 || who.plan->killer) {
                 continue;
             }
             made.demanded += work_of(who) / capacity();
-            made.delivered += settled_work(m_hosts.sends()[who.send])
+            made.delivered += settled_work(m_fleet.sends()[who.send])
                               / (capacity() * settled_share);
         }
         all.push_back(made);
@@ -185,20 +186,20 @@
 std::vector<region_result> score::regions() const
 {
     std::vector<region_result> all;
-    for (std::string const& name : m_where.regions) {
+    for (std::string const& name : m_deployment.regions) {
         all.push_back({name, 0, 0});
     }
     model::time_point const begin{};
-    for (caller const& who : m_from.all()) {
+    for (caller const& who : m_callers.all()) {
         if (who.plan->killer || left_in_time(who)
-            || who.plan->when < begin + m_what.from
-            || who.plan->when >= begin + m_what.until) {
+            || who.plan->when < begin + m_scenario.from
+            || who.plan->when >= begin + m_scenario.until) {
             continue;
         }
-        send const& last = m_hosts.sends()[who.send];
-        model::host const& host = m_where.hosts[last.entry_host];
+        send const& last = m_fleet.sends()[who.send];
+        model::host const& host = m_deployment.hosts[last.entry_host];
         std::size_t const place =
-            m_where.place_of(host.region, host.data_centre).region;
+            m_deployment.place_of(host.region, host.data_centre).region;
         ++all[place].offered;
         all[place].served += last.end == send_end::ran ? 1 : 0;
     }
@@ -207,15 +208,15 @@
 
 void score::fill(run_result& result) const
 {
-    for (std::size_t load = 0; load < m_where.loads.size(); ++load) {
+    for (std::size_t load = 0; load < m_deployment.loads.size(); ++load) {
         result.classes.push_back(describe(load));
     }
-    for (caller const& who : m_from.all()) {
+    for (caller const& who : m_callers.all()) {
         if (!who.plan->killer) {
             count(who, result.classes[who.plan->load]);
         }
     }
-    for (send const& one : m_hosts.sends()) {
+    for (send const& one : m_fleet.sends()) {
         model::time_point const until =
             one.has_answer() ? one.first_token : one.ended;
         double& longest = result.classes[one.plan->load].max_wait_s;
--- a/bench/policy_bench/score.hpp
+++ b/bench/policy_bench/score.hpp
@@ -11,7 +11,7 @@
 
 namespace caperjunction::bench {
 
-/// Works out the figures of a finished run, but for its violations and bytes.
+/// Computes the results of a finished run, except for violations and bytes.
 class score
 {
 public:
@@ -46,11 +46,11 @@
     double capacity() const;
     model::time_point window_end() const;
 
-    deployment const& m_where;
-    scenario const& m_what;
+    deployment const& m_deployment;
+    scenario const& m_scenario;
     std::uint64_t m_seed;
-    callers const& m_from;
-    fleet const& m_hosts;
+    callers const& m_callers;
+    fleet const& m_fleet;
 };
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/send.hpp
+++ b/bench/policy_bench/send.hpp
@@ -9,28 +9,28 @@
 
 namespace caperjunction::bench {
 
-/// Where one send of a request stands.
+/// Progress of a send.
 enum class send_state : std::uint8_t
 {
     waiting,
     running,
-    /// On its way to another host.
+    /// In transit to another host.
     moving,
     done,
 };
 
-/// How a send ended for its caller.
+/// How a send ended for the caller.
 enum class send_end : std::uint8_t
 {
     none,
     ran,
     refused,
-    /// An error, not known whether it ran.
+    /// Error with unknown outcome.
     failed,
     hung_up,
 };
 
-/// One request as a caller sent it to the fleet; a resend is another one.
+/// One request sent to the fleet by a caller; a retry is a separate send.
 struct send
 {
     model::request_id id;
@@ -42,17 +42,18 @@
     std::size_t serving_host = 0;
     send_state state = send_state::waiting;
     send_end end = send_end::none;
-    /// Number of the attempt that runs; counted over the whole run, from 1.
+    /// Number of the running attempt, counted over the complete run from 1; 0
+    /// if there is none.
     std::uint64_t attempt = 0;
     std::uint32_t attempts = 0;
-    /// Upstreams that accepted it and did not refuse it afterwards.
+    /// Number of upstreams that accepted it and did not refuse it later.
     std::uint32_t accepted = 0;
-    /// Tokens that its caller has; those it had when arrivals ended; and of
-    /// these, those that came after the fleet had settled.
+    /// Tokens relayed to the caller; those relayed until the end of new
+    /// requests; and of these, those after `scenario::settled`.
     std::uint32_t relayed = 0;
     std::uint32_t relayed_in_window = 0;
     std::uint32_t relayed_settled = 0;
-    /// Of its first and last token, or of a service's answer.
+    /// Times of the first and last token, or of a service's answer.
     model::time_point first_token{};
     model::time_point last_token{};
     model::time_point ended{};
--- a/bench/policy_bench/simulation.cpp
+++ b/bench/policy_bench/simulation.cpp
@@ -11,12 +11,12 @@
 namespace caperjunction::bench {
 namespace {
 
-// After the last first send, so long at most until all are answered: the
+// Maximum time after the end of new requests until all are answered; the
 // longest answers take minutes.
-constexpr std::chrono::seconds longest_rest{900};
-// How much further load reports lag while one engine is slow.
+constexpr std::chrono::seconds max_drain_time{900};
+// Additional delay of load reports while one engine is slow.
 constexpr std::chrono::milliseconds slow_lag{2'000};
-constexpr std::uint32_t most_engines_lost = 2;
+constexpr std::uint32_t max_engines_lost = 2;
 
 void plan_faults(scenario const& what,
                  std::uint64_t seed,
@@ -26,10 +26,10 @@
 {
     model::time_point const from = model::time_point{} + what.from;
     model::time_point const until = model::time_point{} + what.until;
-    if (what.slowness > 1.0) {
+    if (what.slowdown > 1.0) {
         std::size_t const slow = seed % hosts.upstreams().engine_count();
         queue.at(from, [&, slow] {
-            hosts.upstreams().engine(slow).slow_down(what.slowness);
+            hosts.upstreams().engine(slow).slow_down(what.slowdown);
             reports.lag_more(slow_lag);
         });
         queue.at(until, [&, slow] {
@@ -51,7 +51,7 @@
 {
     model::time_point now = model::time_point{} + what.length;
     queue.run_until(now);
-    model::time_point const last = now + longest_rest;
+    model::time_point const last = now + max_drain_time;
     while (!from.all_done() && now < last) {
         now += std::chrono::seconds{1};
         queue.run_until(now);
@@ -62,23 +62,23 @@
 {
     for (caller const& who : from.all()) {
         if (!who.done) {
-            violations.note("no_final_answer",
-                            fmt::format("caller of load {}, {} sends",
-                                        who.plan->load,
-                                        who.sends));
+            violations.record("no_final_answer",
+                              fmt::format("caller of load {}, {} sends",
+                                          who.plan->load,
+                                          who.sends));
         }
     }
 }
 
-// A region that serves less than this of what it is asked while the link is
-// cut counts as stopped; it has engines enough for its own callers.
-constexpr double least_served = 0.5;
+// A region that serves less than this share of its requests while the link is
+// cut counts as stopped; it has enough engines for its own callers.
+constexpr double min_served_share = 0.5;
 
 void check_regions(run_result const& result, violation_list& violations)
 {
     for (region_result const& one : result.regions) {
-        if (one.served < least_served * one.offered) {
-            violations.note(
+        if (one.served < min_served_share * one.offered) {
+            violations.record(
                 "region_stopped",
                 fmt::format("{}: {} of {}", one.name, one.served, one.offered));
         }
@@ -97,7 +97,7 @@
     violation_list violations;
     auditor watch(where, violations);
     fleet hosts(where, seed, make, queue, net, watch, violations);
-    auto const trace = draw_trace(where, what, seed);
+    auto const trace = generate_trace(where, what, seed);
     callers from(where, what, trace, queue, hosts);
     telemetry reports(where,
                       seed,
@@ -105,7 +105,7 @@
                       net,
                       hosts.upstreams(),
                       [&hosts](std::size_t host, decide::event const& event) {
-                          hosts.tell(host, event);
+                          hosts.handle_event(host, event);
                       });
     hosts.start(
         [&from](send const& which, model::milliseconds retry) {
@@ -129,9 +129,9 @@
     for (std::size_t one = 0; one < hosts.upstreams().engine_count(); ++one) {
         result.engines_lost += hosts.upstreams().engine(one).crashes();
     }
-    if (result.engines_lost > most_engines_lost) {
-        violations.note("engines_lost_to_one_request",
-                        fmt::format("{} engines", result.engines_lost));
+    if (result.engines_lost > max_engines_lost) {
+        violations.record("engines_lost_to_one_request",
+                          fmt::format("{} engines", result.engines_lost));
     }
     if (what.cut) {
         check_regions(result, violations);
--- a/bench/policy_bench/simulation.hpp
+++ b/bench/policy_bench/simulation.hpp
@@ -10,8 +10,8 @@
 
 namespace caperjunction::bench {
 
-/// Runs one scenario on one deployment in virtual time; the same arguments
-/// always give the same result. The caller fills in the result's names.
+/// Runs one scenario on one deployment in virtual time. The result depends only
+/// on the arguments. The caller fills in the names of the result.
 run_result simulate(deployment const& where,
                     scenario const& what,
                     policy_maker const& make,
--- a/bench/policy_bench/summary.cpp
+++ b/bench/policy_bench/summary.cpp
@@ -13,7 +13,7 @@
 struct row
 {
     run_result const* first = nullptr;
-    /// By class; `none` if no seed has the class that way.
+    /// Worst attainment by class; `none` if there is no such seed.
     std::vector<double> within_share;
     std::vector<double> beyond_share;
     double goodput = 1e9;
@@ -33,10 +33,10 @@
 {
     into.within_share.resize(one.classes.size(), none);
     into.beyond_share.resize(one.classes.size(), none);
-    for (std::size_t place = 0; place < one.classes.size(); ++place) {
-        class_result const& entry = one.classes[place];
-        double& worst = entry.fits_share ? into.within_share[place]
-                                         : into.beyond_share[place];
+    for (std::size_t index = 0; index < one.classes.size(); ++index) {
+        class_result const& entry = one.classes[index];
+        double& worst = entry.fits_share ? into.within_share[index]
+                                         : into.beyond_share[index];
         worst = std::min(worst, entry.attainment());
     }
     into.goodput = std::min(into.goodput, one.goodput_ratio);
@@ -85,13 +85,14 @@
 {
     std::string text =
         fmt::format("| {} | {} |", own.first->scenario, own.first->policy);
-    for (std::size_t place = 0; place < own.within_share.size(); ++place) {
-        if (own.within_share[place] < none) {
-            text += fmt::format(" {:.4f}", own.within_share[place]);
+    for (std::size_t index = 0; index < own.within_share.size(); ++index) {
+        if (own.within_share[index] < none) {
+            text += fmt::format(" {:.4f}", own.within_share[index]);
         }
-        // A class that asks for more than its tier's share is promised less.
-        if (own.beyond_share[place] < none) {
-            text += fmt::format(" ({:.4f})", own.beyond_share[place]);
+        // A class whose tier exceeds its share has no promised attainment; its
+        // value is in parentheses.
+        if (own.beyond_share[index] < none) {
+            text += fmt::format(" ({:.4f})", own.beyond_share[index]);
         }
         text += " |";
     }
--- a/bench/policy_bench/summary.hpp
+++ b/bench/policy_bench/summary.hpp
@@ -8,8 +8,8 @@
 
 namespace caperjunction::bench {
 
-/// A Markdown table with a row for each deployment, scenario and policy, in
-/// the order of `results`: the worst figure over the seeds in each column.
+/// Returns Markdown tables with a row per deployment, scenario and policy, in
+/// the order of `results`. Each column has the worst value over the seeds.
 std::string to_markdown(std::vector<run_result> const& results);
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/telemetry.cpp
+++ b/bench/policy_bench/telemetry.cpp
@@ -5,7 +5,7 @@
 namespace caperjunction::bench {
 namespace {
 
-constexpr std::uint64_t stream = 1'000;
+constexpr std::uint64_t random_stream = 1'000;
 constexpr std::uint64_t bytes_per_block = 8;
 constexpr std::uint64_t cache_event_bytes = 60;
 
@@ -17,8 +17,8 @@
                      network& net,
                      upstream_set& upstreams,
                      deliver to_host)
-    : m_where(where)
-    , m_random(seed, stream)
+    : m_deployment(where)
+    , m_random(seed, random_stream)
     , m_queue(queue)
     , m_network(net)
     , m_upstreams(upstreams)
@@ -35,7 +35,7 @@
             report(one);
         });
         m_queue.after(offset, [this, one] {
-            tell_cache(one);
+            publish_cache_events(one);
         });
     }
 }
@@ -63,10 +63,10 @@
         made.running = own.running();
         made.waiting = own.waiting();
         made.kv_used = own.kv_share();
-        made.models = m_where.upstreams.engines[engine].models;
-        auto const lag = least_lag + m_lag
+        made.models = m_deployment.upstreams.engines[engine].models;
+        auto const lag = min_lag + m_lag
                          + std::chrono::duration_cast<std::chrono::nanoseconds>(
-                             more_lag * m_random.uniform());
+                             additional_lag * m_random.uniform());
         publish(engine, report_bytes, lag, made, 0.0);
     }
     m_queue.after(report_period, [this, engine] {
@@ -74,7 +74,7 @@
     });
 }
 
-void telemetry::tell_cache(std::size_t engine)
+void telemetry::publish_cache_events(std::size_t engine)
 {
     if (m_stopped) {
         return;
@@ -87,7 +87,7 @@
     if (blocks > 0) {
         made.sequence = ++m_sequences[engine];
         auto const lag = std::chrono::duration_cast<std::chrono::nanoseconds>(
-            (least_lag + more_lag) * m_random.uniform());
+            (min_lag + additional_lag) * m_random.uniform());
         publish(engine,
                 cache_event_bytes + bytes_per_block * blocks,
                 lag,
@@ -95,7 +95,7 @@
                 lost_share);
     }
     m_queue.after(cache_period, [this, engine] {
-        tell_cache(engine);
+        publish_cache_events(engine);
     });
 }
 
@@ -105,13 +105,13 @@
                         decide::event const& event,
                         double lost)
 {
-    for (std::size_t host = 0; host < m_where.hosts.size(); ++host) {
+    for (std::size_t host = 0; host < m_deployment.hosts.size(); ++host) {
         if (m_random.uniform() < lost) {
             continue;
         }
-        model::host const& to = m_where.hosts[host];
+        model::host const& to = m_deployment.hosts[host];
         m_network.send(m_upstreams.where(engine),
-                       m_where.place_of(to.region, to.data_centre),
+                       m_deployment.place_of(to.region, to.data_centre),
                        bytes,
                        [this, lag, host, event] {
                            m_queue.after(lag, [this, host, event] {
--- a/bench/policy_bench/telemetry.hpp
+++ b/bench/policy_bench/telemetry.hpp
@@ -14,8 +14,8 @@
 
 namespace caperjunction::bench {
 
-/// What engines publish of themselves: load reports that lag, and cache
-/// events that come late and with gaps.
+/// Telemetry of the engines: delayed load reports, and delayed cache events of
+/// which some are lost.
 ///
 /// Thread safety: none.
 class telemetry
@@ -24,10 +24,10 @@
     using deliver = std::function<void(std::size_t host, decide::event const&)>;
 
     static constexpr std::chrono::milliseconds report_period{500};
-    static constexpr std::chrono::milliseconds least_lag{300};
-    static constexpr std::chrono::milliseconds more_lag{700};
+    static constexpr std::chrono::milliseconds min_lag{300};
+    static constexpr std::chrono::milliseconds additional_lag{700};
     static constexpr std::chrono::milliseconds cache_period{250};
-    /// Share of cache events that a host never gets.
+    /// Share of cache events that a host does not receive.
     static constexpr double lost_share = 0.02;
     static constexpr std::uint64_t report_bytes = 200;
 
@@ -40,22 +40,22 @@
 
     void start();
 
-    /// Nothing more is published.
+    /// Ends all reports and events.
     void stop();
 
-    /// Reports lag so much longer from now on.
+    /// Sets the additional delay of load reports.
     void lag_more(std::chrono::milliseconds lag);
 
 private:
     void report(std::size_t engine);
-    void tell_cache(std::size_t engine);
+    void publish_cache_events(std::size_t engine);
     void publish(std::size_t engine,
                  std::uint64_t bytes,
                  std::chrono::nanoseconds lag,
                  decide::event const& event,
                  double lost);
 
-    deployment const& m_where;
+    deployment const& m_deployment;
     random_source m_random;
     event_queue& m_queue;
     network& m_network;
--- a/bench/policy_bench/tier_ledger.cpp
+++ b/bench/policy_bench/tier_ledger.cpp
@@ -5,7 +5,7 @@
 namespace caperjunction::bench {
 
 tier_ledger::tier_ledger(deployment const& where)
-    : m_where(where)
+    : m_deployment(where)
     , m_work(model::limits::max_tiers)
 {
 }
@@ -14,9 +14,9 @@
 {
     entry made;
     made.at = now;
-    made.rank = m_where.tier_of(plan.load).rank;
-    made.work = m_where.work(plan.prompt_tokens,
-                             m_where.loads[plan.load].mean_output_tokens);
+    made.rank = m_deployment.tier_of(plan.load).rank;
+    made.work = m_deployment.work(
+        plan.prompt_tokens, m_deployment.loads[plan.load].mean_output_tokens);
     m_work[made.rank] += made.work;
     m_entries.push_back(made);
     while (m_entries.front().at + window < now) {
@@ -27,9 +27,9 @@
 
 bool tier_ledger::above_share(std::size_t load) const
 {
-    lists::tier const& tier = m_where.tier_of(load);
+    lists::tier const& tier = m_deployment.tier_of(load);
     double const all =
-        m_where.capacity() * std::chrono::duration<double>(window).count();
+        m_deployment.capacity() * std::chrono::duration<double>(window).count();
     return m_work[tier.rank] > all * tier.guaranteed_share * slack;
 }
 
--- a/bench/policy_bench/tier_ledger.hpp
+++ b/bench/policy_bench/tier_ledger.hpp
@@ -10,24 +10,25 @@
 
 namespace caperjunction::bench {
 
-/// What part of the engines each tier has been given of late, by the work of
-/// what was dispatched: its prompt and its class's mean output. Nobody can
-/// know an answer's length when it is dispatched; by true lengths, chance
-/// alone would put a tier of few long answers a quarter above its share.
+/// Share of the engines that each tier has used recently, by the dispatched
+/// work: the prompt and the mean output of the class. The length of an answer
+/// is unknown at dispatch; with actual lengths, chance alone would put a tier
+/// with few long answers a quarter above its share.
 ///
 /// Thread safety: none.
 class tier_ledger
 {
 public:
     static constexpr std::chrono::seconds window{20};
-    /// Hosts share nothing but digests, and each keeps shares of its own.
+    /// Tolerance factor: hosts only exchange digests, and each enforces the
+    /// shares on its own.
     static constexpr double slack = 1.25;
 
     explicit tier_ledger(deployment const& where);
 
     void dispatched(planned_request const& plan, model::time_point now);
 
-    /// Whether the load's tier has had more than its guaranteed share.
+    /// Returns whether the load's tier has used more than its guaranteed share.
     bool above_share(std::size_t load) const;
 
 private:
@@ -38,7 +39,7 @@
         double work = 0.0;
     };
 
-    deployment const& m_where;
+    deployment const& m_deployment;
     std::deque<entry> m_entries;
     std::vector<double> m_work;
 };
--- a/bench/policy_bench/tier_result.hpp
+++ b/bench/policy_bench/tier_result.hpp
@@ -5,14 +5,14 @@
 
 namespace caperjunction::bench {
 
-/// A tier's part of the engines' capacity, all as shares of it.
+/// Use of the engines by a tier, as shares of their capacity.
 struct tier_result
 {
     std::string name;
     double guaranteed = 0.0;
     double demanded = 0.0;
-    /// Work delivered, in time or not, from `scenario::settled` to the end of
-    /// new requests.
+    /// Work delivered from `scenario::settled` to the end of new requests,
+    /// whether in time or not.
     double delivered = 0.0;
 };
 
--- a/bench/policy_bench/trace.cpp
+++ b/bench/policy_bench/trace.cpp
@@ -8,16 +8,16 @@
 namespace caperjunction::bench {
 namespace {
 
-// Blocks that a router hashes; longer prefixes bring little more.
+// Number of blocks that a router hashes; longer prefixes have little benefit.
 constexpr std::uint32_t hashed_blocks = 8;
 constexpr double hang_up_share = 0.01;
 constexpr double mean_hang_up_s = 2.0;
-// A burst of the highest tier stays within what its share and idle capacity
-// allow; otherwise no policy could keep the lower tiers' shares as well.
+// Limits a burst of the highest tier to its share and the idle capacity;
+// otherwise no policy could keep the lower tiers' shares as well.
 constexpr double highest_tier_burst = 2.0;
 
-// Mixed lengths: this share of the answers is that much longer than the mean,
-// and the others so much shorter that the mean stays.
+// Mixed lengths: `long_share` of the answers is longer than the mean by
+// `long_factor`, and the others are shorter so that the mean is the same.
 constexpr double long_share = 0.1;
 constexpr double long_factor = 5.0;
 constexpr double short_factor =
@@ -32,7 +32,7 @@
     return value ^ (value >> 31);
 }
 
-double usual_scale(deployment const& where, scenario const& what)
+double base_scale(deployment const& where, scenario const& what)
 {
     double total = 0.0;
     for (class_load const& load : where.loads) {
@@ -42,7 +42,7 @@
                                        : what.load;
 }
 
-/// What comes on top in the window, as a multiple of the usual.
+/// Returns the additional demand in the window as a multiple of the base rate.
 double
 extra_demand(deployment const& where, scenario const& what, std::size_t load)
 {
@@ -51,7 +51,7 @@
     return highest ? std::min(wanted, highest_tier_burst - 1.0) : wanted;
 }
 
-/// Draws the requests of one load.
+/// Generates the requests of one load.
 class load_source
 {
 public:
@@ -59,35 +59,36 @@
                 scenario const& what,
                 std::uint64_t seed,
                 std::size_t load)
-        : m_where(where)
-        , m_what(what)
+        : m_deployment(where)
+        , m_scenario(what)
         , m_load(load)
         , m_random(seed, load)
-        , m_pressed(pressed_load(where, seed) == load)
+        , m_is_affected(affected_load(where, seed) == load)
     {
     }
 
-    void draw(std::vector<planned_request>& out)
+    void generate(std::vector<planned_request>& out)
     {
-        double const usual = usual_rate();
+        double const base = base_rate();
         double const extra =
-            m_pressed ? extra_demand(m_where, m_what, m_load) : 0.0;
-        double const peak = usual * (1.0 + extra);
-        double const end = static_cast<double>(m_what.length.count());
+            m_is_affected ? extra_demand(m_deployment, m_scenario, m_load)
+                          : 0.0;
+        double const peak = base * (1.0 + extra);
+        double const end = static_cast<double>(m_scenario.length.count());
         double at = m_random.exponential(1.0 / peak);
         while (at < end) {
             bool const in_window =
-                at >= static_cast<double>(m_what.from.count())
-                && at < static_cast<double>(m_what.until.count());
-            double const share = m_random.uniform() * peak / usual;
+                at >= static_cast<double>(m_scenario.from.count())
+                && at < static_cast<double>(m_scenario.until.count());
+            double const share = m_random.uniform() * peak / base;
             if (share < 1.0) {
                 out.push_back(
-                    draw_one(at, m_random.pick(m_where.team_weights)));
+                    make_request(at, m_random.pick(m_deployment.team_weights)));
             } else if (in_window) {
-                bool const flood = m_what.flood > 0.0;
+                bool const flood = m_scenario.flood > 0.0;
                 std::size_t const team =
-                    flood ? 0 : m_random.pick(m_where.team_weights);
-                out.push_back(draw_one(at, team));
+                    flood ? 0 : m_random.pick(m_deployment.team_weights);
+                out.push_back(make_request(at, team));
             }
             at += m_random.exponential(1.0 / peak);
         }
@@ -96,23 +97,23 @@
 private:
     class_load const& own() const
     {
-        return m_where.loads[m_load];
+        return m_deployment.loads[m_load];
     }
 
-    double usual_rate() const
+    double base_rate() const
     {
-        double const scale = usual_scale(m_where, m_what);
+        double const scale = base_scale(m_deployment, m_scenario);
         if (!own().service.empty()) {
             return own().calls_per_second * scale;
         }
         double const engines =
-            static_cast<double>(m_where.upstreams.engines.size());
+            static_cast<double>(m_deployment.upstreams.engines.size());
         return scale * own().share_of_capacity * engines
-               / m_where.engine_seconds(own().mean_prompt_tokens,
-                                        own().mean_output_tokens);
+               / m_deployment.engine_seconds(own().mean_prompt_tokens,
+                                             own().mean_output_tokens);
     }
 
-    planned_request draw_one(double at, std::size_t team)
+    planned_request make_request(double at, std::size_t team)
     {
         planned_request made;
         made.when = model::time_point{}
@@ -128,7 +129,7 @@
                     model::seconds(m_random.exponential(mean_hang_up_s)));
         }
         if (own().service.empty()) {
-            draw_lengths(made);
+            set_lengths(made);
         } else {
             made.call_length =
                 std::chrono::duration_cast<std::chrono::nanoseconds>(
@@ -137,29 +138,29 @@
         return made;
     }
 
-    void draw_lengths(planned_request& made)
+    void set_lengths(planned_request& made)
     {
         double mean = own().mean_output_tokens;
-        if (m_what.mixed_lengths) {
+        if (m_scenario.mixed_lengths) {
             mean *=
                 m_random.uniform() < long_share ? long_factor : short_factor;
         }
-        double const longest = m_where.class_of(m_load).max_output_tokens;
+        double const longest = m_deployment.class_of(m_load).max_output_tokens;
         made.output_tokens = static_cast<std::uint32_t>(
             std::clamp(m_random.lognormal(mean, own().spread), 2.0, longest));
         double const prompt =
             m_random.lognormal(own().mean_prompt_tokens, own().spread);
         made.prompt_tokens =
             static_cast<std::uint32_t>(std::clamp(prompt, 16.0, 16'384.0));
-        draw_blocks(made);
+        set_prefix_blocks(made);
     }
 
-    // The leading blocks are those of one of the team's documents; what
-    // follows is the caller's own and never comes again but in a resend.
-    void draw_blocks(planned_request& made)
+    // The leading blocks are those of one of the team's documents. The
+    // following ones are unique to the caller and only recur in a retry.
+    void set_prefix_blocks(planned_request& made)
     {
         double const tokens = own().mean_prompt_tokens * own().document_share;
-        std::uint32_t const block = m_where.engine.block_tokens;
+        std::uint32_t const block = m_deployment.engine.block_tokens;
         auto const shared = static_cast<std::uint32_t>(tokens / block);
         std::uint64_t const document = m_random.bits() % own().documents;
         std::uint64_t hash = mix(1 + m_load * 1000 + made.team * 10 + document);
@@ -171,11 +172,11 @@
         }
     }
 
-    deployment const& m_where;
-    scenario const& m_what;
+    deployment const& m_deployment;
+    scenario const& m_scenario;
     std::size_t m_load;
     random_source m_random;
-    bool m_pressed;
+    bool m_is_affected;
 };
 
 planned_request
@@ -184,7 +185,7 @@
     random_source random(seed, where.loads.size());
     planned_request made;
     made.when = model::time_point{} + what.from;
-    made.load = pressed_load(where, seed);
+    made.load = affected_load(where, seed);
     made.team = random.bits() % where.team_weights.size();
     made.prompt_tokens = where.loads[made.load].mean_prompt_tokens;
     made.output_tokens = where.loads[made.load].mean_output_tokens;
@@ -196,7 +197,7 @@
 
 } // namespace
 
-std::size_t pressed_load(deployment const& where, std::uint64_t seed)
+std::size_t affected_load(deployment const& where, std::uint64_t seed)
 {
     std::vector<std::size_t> candidates;
     for (std::size_t load = 0; load < where.loads.size(); ++load) {
@@ -212,19 +213,20 @@
                   std::uint64_t seed,
                   std::size_t load)
 {
-    double const extra = pressed_load(where, seed) == load
+    double const extra = affected_load(where, seed) == load
                              ? extra_demand(where, what, load)
                              : 0.0;
-    return where.loads[load].share_of_capacity * usual_scale(where, what)
+    return where.loads[load].share_of_capacity * base_scale(where, what)
            * (1.0 + extra);
 }
 
-std::vector<planned_request>
-draw_trace(deployment const& where, scenario const& what, std::uint64_t seed)
+std::vector<planned_request> generate_trace(deployment const& where,
+                                            scenario const& what,
+                                            std::uint64_t seed)
 {
     std::vector<planned_request> trace;
     for (std::size_t load = 0; load < where.loads.size(); ++load) {
-        load_source(where, what, seed, load).draw(trace);
+        load_source(where, what, seed, load).generate(trace);
     }
     if (what.killer) {
         trace.push_back(make_killer(where, what, seed));
--- a/bench/policy_bench/trace.hpp
+++ b/bench/policy_bench/trace.hpp
@@ -10,21 +10,21 @@
 
 namespace caperjunction::bench {
 
-/// The load that the scenario's burst or flood is of. Which it is depends on
-/// the seed; the highest tier is among them.
-std::size_t pressed_load(deployment const& deployment, std::uint64_t seed);
+/// Returns the load to which the scenario's burst or flood applies. The seed
+/// selects it among the loads of engines, including the highest tier.
+std::size_t affected_load(deployment const& deployment, std::uint64_t seed);
 
-/// Demand of a load at its highest, as a share of capacity; before chance
-/// has its part in it.
+/// Returns the expected peak demand of a load as a share of capacity, without
+/// random variation.
 double peak_share(deployment const& deployment,
                   scenario const& scenario,
                   std::uint64_t seed,
                   std::size_t load);
 
-/// All first sends of one run in order of time.
-std::vector<planned_request> draw_trace(deployment const& deployment,
-                                        scenario const& scenario,
-                                        std::uint64_t seed);
+/// Generates all first sends of one run in chronological order.
+std::vector<planned_request> generate_trace(deployment const& deployment,
+                                            scenario const& scenario,
+                                            std::uint64_t seed);
 
 } // namespace caperjunction::bench
 
--- a/bench/policy_bench/upstream_hooks.hpp
+++ b/bench/policy_bench/upstream_hooks.hpp
@@ -8,12 +8,12 @@
 
 namespace caperjunction::bench {
 
-/// Where a fake upstream sends what it has to say.
+/// Callbacks of a fake upstream.
 struct upstream_hooks
 {
     std::function<void(std::uint64_t attempt, std::uint32_t tokens)> tokens;
     std::function<void(job_result const&)> ended;
-    /// The process is gone; `ended` has been called for all in flight.
+    /// The process crashed; `ended` has been called for all its attempts.
     std::function<void()> crashed;
 };
 
--- a/bench/policy_bench/upstream_set.cpp
+++ b/bench/policy_bench/upstream_set.cpp
@@ -18,8 +18,8 @@
         m_places.push_back(where.place_of(one.region, one.data_centre));
         m_names.push_back(one.name);
     }
-    for (std::size_t place = 0; place < m_names.size(); ++place) {
-        m_index[m_names[place]] = place;
+    for (std::size_t index = 0; index < m_names.size(); ++index) {
+        m_index[m_names[index]] = index;
     }
 }
 
--- a/bench/policy_bench/upstream_set.hpp
+++ b/bench/policy_bench/upstream_set.hpp
@@ -15,13 +15,13 @@
 
 namespace caperjunction::bench {
 
-/// All fake upstreams of a deployment, by index: engines first.
+/// All fake upstreams of a deployment by index; engines come first.
 ///
 /// Thread safety: none.
 class upstream_set
 {
 public:
-    /// Makes the hooks of the upstream with this index.
+    /// Creates the hooks of the upstream with this index.
     using hook_maker = std::function<upstream_hooks(std::size_t upstream)>;
 
     static constexpr std::size_t none = static_cast<std::size_t>(-1);
@@ -30,7 +30,7 @@
                  event_queue& queue,
                  hook_maker const& make_hooks);
 
-    /// `none` if there is no upstream of that name.
+    /// Returns `none` if there is no upstream of that name.
     std::size_t find(std::string const& name) const;
 
     std::string const& name(std::size_t upstream) const;
--- a/bench/policy_bench/violation.hpp
+++ b/bench/policy_bench/violation.hpp
@@ -6,12 +6,12 @@
 
 namespace caperjunction::bench {
 
-/// Something that must never happen and did, so and so often.
+/// Violations of one kind.
 struct violation
 {
     std::string kind;
     std::uint32_t count = 0;
-    /// The first case.
+    /// Description of the first occurrence.
     std::string example;
 };
 
--- a/bench/policy_bench/violation_list.hpp
+++ b/bench/policy_bench/violation_list.hpp
@@ -9,13 +9,13 @@
 
 namespace caperjunction::bench {
 
-/// Violations by kind, in the order of their first case.
+/// Violations by kind, in the order of their first occurrence.
 ///
 /// Thread safety: none.
 class violation_list
 {
 public:
-    void note(std::string const& kind, std::string const& example)
+    void record(std::string const& kind, std::string const& example)
     {
         auto const found = std::find_if(
             m_all.begin(), m_all.end(), [&kind](violation const& one) {
--- a/tests/bench/auditor_fleet_test.cpp
+++ b/tests/bench/auditor_fleet_test.cpp
@@ -1,5 +1,5 @@
-// As auditor_test.cpp, for the checks that concern upstreams and regions.
-#include "bench/wrong_policy.hpp"
+// Like auditor_test.cpp, for the checks of upstreams and regions.
+#include "bench/faulty_policy.hpp"
 
 #include <doctest/doctest.h>
 
@@ -17,12 +17,12 @@
 
 using std::chrono::seconds;
 
-tests::twist do_nothing()
+tests::decision_filter do_nothing()
 {
     return [](auto const&, auto, auto&) {};
 }
 
-tests::twist to_nowhere()
+tests::decision_filter to_unknown_upstream()
 {
     return [](auto const&, auto, auto& out) {
         for (auto& one : out) {
@@ -35,8 +35,8 @@
 
 } // namespace
 
-// Nobody remembers what ran when an engine went down, and the caller sends it
-// again: engine after engine is lost.
+// The policy does not record which request ran when an engine crashed, and the
+// caller sends it again: one engine after another is lost.
 TEST_CASE("engines lost to one request are counted")
 {
     auto const where = bench::make_deployment("kitanomine");
@@ -52,8 +52,8 @@
     CHECK(noticed);
 }
 
-// The link is cut, and a region with engines of its own refuses everybody.
-TEST_CASE("a region that stops while the link is cut is noticed")
+// The link is cut, and a region with its own engines refuses all requests.
+TEST_CASE("a region that stops while the link is cut is reported")
 {
     auto const stop = [] {
         return [](auto const& event, auto, auto& out) {
@@ -72,15 +72,15 @@
           == 0);
 }
 
-TEST_CASE("a dispatch to an upstream that is not there is noticed")
+TEST_CASE("a dispatch to an unknown upstream is reported")
 {
     CHECK(count_violations("dispatched_to_nowhere",
-                           to_nowhere,
+                           to_unknown_upstream,
                            short_scenario("steady", seconds{3}))
           > 0);
 }
 
-TEST_CASE("a hand-over of a request that runs is noticed")
+TEST_CASE("a hand-over of a running request is reported")
 {
     auto const move = [] {
         return [](auto const& event, auto, auto& out) {
@@ -98,9 +98,9 @@
           > 0);
 }
 
-// A caller has the first tokens; the attempt is cancelled and never begun
-// anew, and nobody tells the caller that there is no more to come.
-TEST_CASE("an answer that begins and never ends is noticed")
+// A caller has received the first tokens; the attempt is cancelled and never
+// restarted, and the caller gets no final answer.
+TEST_CASE("an answer that starts and never ends is reported")
 {
     auto const drop = [] {
         auto const dropped = std::make_shared<std::set<std::uint64_t>>();
@@ -112,11 +112,12 @@
                     (*upstreams)[made->id.value] = made->upstream;
                 }
             }
-            auto const* const heard =
+            auto const* const relayed =
                 std::get_if<decide::tokens_relayed>(&event);
-            if (heard != nullptr && dropped->insert(heard->id.value).second) {
+            if (relayed != nullptr
+                && dropped->insert(relayed->id.value).second) {
                 out.emplace_back(decide::cancel_attempt{
-                    heard->id, (*upstreams)[heard->id.value], "wrong"});
+                    relayed->id, (*upstreams)[relayed->id.value], "wrong"});
             }
         };
     };
--- a/tests/bench/auditor_test.cpp
+++ b/tests/bench/auditor_test.cpp
@@ -1,6 +1,6 @@
-// Each check of the bench is fed a policy that breaks just that rule; a check
-// that stayed silent would say nothing about a policy that passes.
-#include "bench/wrong_policy.hpp"
+// Each check is run with a policy that breaks exactly that rule. A check that
+// reports nothing here would not show that a passing policy is correct.
+#include "bench/faulty_policy.hpp"
 
 #include <doctest/doctest.h>
 
@@ -21,26 +21,26 @@
     return arrived == nullptr ? nullptr : &arrived->request;
 }
 
-tests::twist do_nothing()
+tests::decision_filter do_nothing()
 {
     return [](auto const&, auto, auto&) {};
 }
 
 } // namespace
 
-TEST_CASE("a policy that breaks no rule is told of none")
+TEST_CASE("a policy that breaks no rule causes no violation")
 {
     auto const where = bench::make_deployment("kitanomine");
     auto const result = bench::simulate(where,
                                         short_scenario("steady", seconds{10}),
-                                        tests::make_wrong(do_nothing),
+                                        tests::make_faulty(do_nothing),
                                         1);
     CHECK(result.violations.empty());
 }
 
-// The router goes on after more tokens than the caller has: it sees an answer
-// with a piece missing.
-TEST_CASE("an answer with a gap is noticed")
+// The router resumes after more tokens than the caller has: the answer has a
+// gap.
+TEST_CASE("an answer with a gap is reported")
 {
     auto const skip = [] {
         return [](auto const&, auto, auto& out) {
@@ -56,9 +56,9 @@
           > 0);
 }
 
-// A reservation that was handed over is sent again: the client is charged
-// twice.
-TEST_CASE("a second run is noticed")
+// A reservation that an upstream has accepted is sent again: the client is
+// charged twice.
+TEST_CASE("a second run is reported")
 {
     auto const twice = [] {
         auto const held = std::make_shared<std::deque<decide::dispatch>>();
@@ -81,10 +81,10 @@
           > 0);
 }
 
-// The router says "not run" of something that an upstream has begun.
-TEST_CASE("a false not run is noticed")
+// The router reports "not run" for a request that an upstream has started.
+TEST_CASE("a false not run is reported")
 {
-    auto const lie = [] {
+    auto const refuse_later = [] {
         auto const held = std::make_shared<std::deque<model::request_id>>();
         return [held](auto const& event, auto, auto& out) {
             if (arrival(event) != nullptr) {
@@ -97,11 +97,11 @@
         };
     };
     auto const what = short_scenario("steady", seconds{3});
-    CHECK(count_violations("not_run_though_it_ran", lie, what) > 0);
-    CHECK(count_violations("second_final_answer", lie, what) > 0);
+    CHECK(count_violations("not_run_though_it_ran", refuse_later, what) > 0);
+    CHECK(count_violations("second_final_answer", refuse_later, what) > 0);
 }
 
-TEST_CASE("a request that is forgotten is noticed")
+TEST_CASE("a request without an answer is reported")
 {
     auto const forget = [] {
         return [](auto const& event, auto, auto& out) {
@@ -115,7 +115,7 @@
           > 0);
 }
 
-TEST_CASE("two attempts at once and an attempt after the end are noticed")
+TEST_CASE("two attempts at once and an attempt after the end are reported")
 {
     auto const both = [] {
         auto const last = std::make_shared<decide::dispatch>();
@@ -136,9 +136,9 @@
     CHECK(count_violations("dispatched_after_final_answer", both, what) > 0);
 }
 
-TEST_CASE("a decision on a request that the host does not hold is noticed")
+TEST_CASE("a decision on a request of another host is reported")
 {
-    auto const stray = [] {
+    auto const refuse_other = [] {
         return [](auto const& event, auto, auto& out) {
             if (arrival(event) != nullptr) {
                 out.emplace_back(
@@ -147,14 +147,14 @@
         };
     };
     CHECK(count_violations("decision_for_another_hosts_request",
-                           stray,
+                           refuse_other,
                            short_scenario("steady", seconds{3}))
           > 0);
 }
 
-// The router knows that a request won't be served and keeps it until the
-// client has no time left to ask again.
-TEST_CASE("a refusal that is held back is noticed")
+// The router knows that it won't serve a request, but refuses it only when the
+// client has no time left to retry.
+TEST_CASE("a delayed refusal is reported")
 {
     auto const hold = [] {
         auto const held = std::make_shared<std::deque<decide::request>>();
@@ -177,9 +177,9 @@
           > 0);
 }
 
-// The router serves the newest first and lets the older ones wait for
-// nothing, though it knows that their turn won't come.
-TEST_CASE("a refusal after later requests went first is noticed")
+// The router serves the newest requests first and lets older ones wait in vain,
+// although it knows that it won't serve them.
+TEST_CASE("a refusal after later requests were served first is reported")
 {
     auto const pass_over = [] {
         auto const held = std::make_shared<std::deque<decide::request>>();
@@ -204,9 +204,9 @@
           > 0);
 }
 
-// Summaries are refused at the desk while the office's letters, which have
-// had far more than their share, still wait in a queue.
-TEST_CASE("a higher tier refused while lower work is queued is noticed")
+// Summaries of the tier `desk` are refused while letters of the lower tier
+// `office`, which has had far more than its share, are still queued.
+TEST_CASE("a higher tier refused while lower work is queued is reported")
 {
     auto const invert = [] {
         return [](auto const& event, auto now, auto& out) {
@@ -231,7 +231,7 @@
           > 0);
 }
 
-TEST_CASE("a lower tier admitted in place of a higher one is noticed")
+TEST_CASE("a lower tier admitted in place of a higher one is reported")
 {
     auto const invert = [] {
         return [](auto const& event, auto, auto& out) {
@@ -249,9 +249,9 @@
           > 0);
 }
 
-TEST_CASE("a refusal without a time to come back or a remedy is noticed")
+TEST_CASE("a refusal without a retry delay or a remedy is reported")
 {
-    auto const curt = [] {
+    auto const refuse_incompletely = [] {
         return [](auto const& event, auto, auto& out) {
             if (arrival(event) != nullptr) {
                 auto refusal = make_refusal(arrival(event)->id);
@@ -263,13 +263,16 @@
         };
     };
     auto const what = short_scenario("steady", seconds{3});
-    CHECK(count_violations("refusal_without_retry_after", curt, what) > 0);
-    CHECK(count_violations("refusal_without_remedy", curt, what) > 0);
+    CHECK(count_violations(
+              "refusal_without_retry_after", refuse_incompletely, what)
+          > 0);
+    CHECK(count_violations("refusal_without_remedy", refuse_incompletely, what)
+          > 0);
 }
 
-TEST_CASE("waiting longer than stated is noticed")
+TEST_CASE("waiting longer than max_wait is reported")
 {
-    auto const dawdle = [] {
+    auto const dispatch_late = [] {
         using held_dispatch = std::pair<model::time_point, decide::decision>;
         auto const held = std::make_shared<std::deque<held_dispatch>>();
         return [held](auto const& event, auto now, auto& out) {
@@ -285,7 +288,7 @@
         };
     };
     CHECK(count_violations("waited_longer_than_stated",
-                           dawdle,
+                           dispatch_late,
                            short_scenario("steady", seconds{3}))
           > 0);
 }
--- a/tests/bench/fake_engine_test.cpp
+++ b/tests/bench/fake_engine_test.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// An engine with everything that it says written down.
-struct listener
+/// An engine whose callbacks are recorded.
+struct engine_recorder
 {
     bench::event_queue queue;
     std::map<std::uint64_t, std::uint32_t> tokens;
@@ -19,8 +19,8 @@
     bool crashed = false;
     bench::fake_engine engine;
 
-    explicit listener(bench::engine_numbers numbers = {})
-        : engine(numbers,
+    explicit engine_recorder(bench::engine_parameters parameters = {})
+        : engine(parameters,
                  queue,
                  {[this](std::uint64_t attempt, std::uint32_t count) {
                       first.emplace(attempt, queue.now());
@@ -53,12 +53,12 @@
 
 std::uint32_t output_in_ten_seconds(std::uint32_t sequences)
 {
-    listener heard;
+    engine_recorder recorder;
     for (std::uint64_t one = 1; one <= sequences; ++one) {
-        heard.engine.submit(make_job(one, 16, 100'000));
+        recorder.engine.submit(make_job(one, 16, 100'000));
     }
-    heard.run(std::chrono::seconds{10});
-    return heard.tokens[1];
+    recorder.run(std::chrono::seconds{10});
+    return recorder.tokens[1];
 }
 
 } // namespace
@@ -74,103 +74,104 @@
     CHECK(31 * beside_thirty > 16 * beside_fifteen);
 }
 
-TEST_CASE("a long prompt delays the first token by its length")
+TEST_CASE("a long prompt delays the first token")
 {
-    listener heard;
-    heard.engine.submit(make_job(1, 100, 10));
-    heard.run(std::chrono::seconds{5});
-    model::time_point const begun = heard.queue.now();
-    heard.engine.submit(make_job(2, 10'000, 10));
-    heard.run(std::chrono::seconds{5});
-    CHECK(heard.first[1] - model::time_point{} < std::chrono::milliseconds{30});
-    CHECK(heard.first[2] - begun > std::chrono::milliseconds{800});
+    engine_recorder recorder;
+    recorder.engine.submit(make_job(1, 100, 10));
+    recorder.run(std::chrono::seconds{5});
+    model::time_point const begun = recorder.queue.now();
+    recorder.engine.submit(make_job(2, 10'000, 10));
+    recorder.run(std::chrono::seconds{5});
+    CHECK(recorder.first[1] - model::time_point{}
+          < std::chrono::milliseconds{30});
+    CHECK(recorder.first[2] - begun > std::chrono::milliseconds{800});
 }
 
 TEST_CASE("a higher priority leaves the engine's queue first")
 {
-    bench::engine_numbers numbers;
-    numbers.slots = 1;
-    listener heard(numbers);
-    heard.engine.submit(make_job(1, 100, 50));
+    bench::engine_parameters parameters;
+    parameters.slots = 1;
+    engine_recorder recorder(parameters);
+    recorder.engine.submit(make_job(1, 100, 50));
     bench::engine_job low = make_job(2, 100, 50);
     low.priority = 2;
-    heard.engine.submit(low);
-    heard.engine.submit(make_job(3, 100, 50));
-    heard.run(std::chrono::seconds{30});
-    CHECK(heard.first[1] < heard.first[3]);
-    CHECK(heard.first[3] < heard.first[2]);
+    recorder.engine.submit(low);
+    recorder.engine.submit(make_job(3, 100, 50));
+    recorder.run(std::chrono::seconds{30});
+    CHECK(recorder.first[1] < recorder.first[3]);
+    CHECK(recorder.first[3] < recorder.first[2]);
 }
 
 TEST_CASE("a cancelled request frees its slot and memory at once")
 {
-    listener heard;
-    heard.engine.submit(make_job(1, 4'000, 4'000));
-    heard.run(std::chrono::seconds{2});
-    CHECK(heard.engine.kv_used() > 4'000);
-    heard.engine.cancel(1);
-    CHECK(heard.engine.running() == 0);
-    CHECK(heard.engine.kv_used() == 0);
-    CHECK(heard.results[1].end == decide::attempt_end::cancelled);
-    CHECK(heard.results[1].computed_prompt == 4'000);
+    engine_recorder recorder;
+    recorder.engine.submit(make_job(1, 4'000, 4'000));
+    recorder.run(std::chrono::seconds{2});
+    CHECK(recorder.engine.kv_used() > 4'000);
+    recorder.engine.cancel(1);
+    CHECK(recorder.engine.running() == 0);
+    CHECK(recorder.engine.kv_used() == 0);
+    CHECK(recorder.results[1].end == decide::attempt_end::cancelled);
+    CHECK(recorder.results[1].computed_prompt == 4'000);
 }
 
-TEST_CASE("a resumed answer goes on after what the caller has")
+TEST_CASE("a resumed answer continues after the tokens that the caller has")
 {
-    listener heard;
+    engine_recorder recorder;
     bench::engine_job job = make_job(1, 100, 300);
     job.resume_offset = 260;
-    heard.engine.submit(job);
-    heard.run(std::chrono::seconds{10});
-    CHECK(heard.tokens[1] == 40);
-    CHECK(heard.results[1].computed_prompt == 360);
+    recorder.engine.submit(job);
+    recorder.run(std::chrono::seconds{10});
+    CHECK(recorder.tokens[1] == 40);
+    CHECK(recorder.results[1].computed_prompt == 360);
 }
 
-TEST_CASE("a prefix that the cache holds is not computed again")
+TEST_CASE("a cached prefix is not computed again")
 {
-    listener heard;
+    engine_recorder recorder;
     bench::engine_job job = make_job(1, 1'000, 10);
     job.prefix_blocks = {11, 12, 13, 14};
-    heard.engine.submit(job);
-    heard.run(std::chrono::seconds{5});
+    recorder.engine.submit(job);
+    recorder.run(std::chrono::seconds{5});
     job.attempt = 2;
-    heard.engine.submit(job);
-    heard.run(std::chrono::seconds{5});
-    CHECK(heard.results[1].cached_tokens == 0);
-    CHECK(heard.results[2].cached_tokens == 512);
-    CHECK(heard.results[2].computed_prompt == 488);
+    recorder.engine.submit(job);
+    recorder.run(std::chrono::seconds{5});
+    CHECK(recorder.results[1].cached_tokens == 0);
+    CHECK(recorder.results[2].cached_tokens == 512);
+    CHECK(recorder.results[2].computed_prompt == 488);
 }
 
-// A request brings the engine's process down; everything that ran beside it
-// breaks, and callers see their streams end in the middle.
-TEST_CASE("a crash breaks everything in flight and loses the cache")
+// A request crashes the engine process; all requests running with it break, and
+// their callers see streams end in the middle.
+TEST_CASE("a crash breaks all running requests and clears the cache")
 {
-    listener heard;
+    engine_recorder recorder;
     bench::engine_job neighbour = make_job(1, 100, 5'000);
     neighbour.prefix_blocks = {11};
-    heard.engine.submit(neighbour);
-    heard.run(std::chrono::seconds{1});
-    CHECK(heard.engine.cache().size() == 1);
+    recorder.engine.submit(neighbour);
+    recorder.run(std::chrono::seconds{1});
+    CHECK(recorder.engine.cache().size() == 1);
     bench::engine_job killer = make_job(2, 100, 100);
     killer.crashes_engine = true;
-    heard.engine.submit(killer);
-    heard.run(std::chrono::seconds{1});
-    CHECK(heard.crashed);
-    CHECK_FALSE(heard.engine.up());
-    CHECK(heard.results[1].end == decide::attempt_end::broken);
-    CHECK(heard.results[2].end == decide::attempt_end::broken);
-    CHECK(heard.engine.cache().size() == 0);
-    heard.run(std::chrono::seconds{15});
-    CHECK(heard.engine.up());
+    recorder.engine.submit(killer);
+    recorder.run(std::chrono::seconds{1});
+    CHECK(recorder.crashed);
+    CHECK_FALSE(recorder.engine.up());
+    CHECK(recorder.results[1].end == decide::attempt_end::broken);
+    CHECK(recorder.results[2].end == decide::attempt_end::broken);
+    CHECK(recorder.engine.cache().size() == 0);
+    recorder.run(std::chrono::seconds{15});
+    CHECK(recorder.engine.up());
 }
 
-TEST_CASE("whatever is asked of it, an engine stays within its bounds")
+TEST_CASE("an engine stays within its limits under any load")
 {
     CHECK(rc::check("slots, memory and cache are bounded; all is answered", [] {
-        bench::engine_numbers numbers;
-        numbers.slots = 8;
-        numbers.kv_tokens = 6'000;
-        numbers.cache_tokens = 2'000;
-        listener heard(numbers);
+        bench::engine_parameters parameters;
+        parameters.slots = 8;
+        parameters.kv_tokens = 6'000;
+        parameters.cache_tokens = 2'000;
+        engine_recorder recorder(parameters);
         auto const count = *rc::gen::inRange<std::uint64_t>(1, 60);
         for (std::uint64_t one = 1; one <= count; ++one) {
             bench::engine_job job =
@@ -179,16 +180,16 @@
                          *rc::gen::inRange<std::uint32_t>(1, 400));
             job.priority = *rc::gen::inRange<std::uint32_t>(0, 3);
             job.prefix_blocks = {one % 5, one};
-            heard.engine.submit(job);
-            heard.run(std::chrono::milliseconds{20});
-            RC_ASSERT(heard.engine.running() <= numbers.slots);
-            RC_ASSERT(heard.engine.kv_used() <= numbers.kv_tokens);
-            RC_ASSERT(heard.engine.cache().size() * numbers.block_tokens
-                      <= numbers.cache_tokens);
+            recorder.engine.submit(job);
+            recorder.run(std::chrono::milliseconds{20});
+            RC_ASSERT(recorder.engine.running() <= parameters.slots);
+            RC_ASSERT(recorder.engine.kv_used() <= parameters.kv_tokens);
+            RC_ASSERT(recorder.engine.cache().size() * parameters.block_tokens
+                      <= parameters.cache_tokens);
         }
-        heard.run(std::chrono::minutes{10});
-        RC_ASSERT(heard.results.size() == count);
-        for (auto const& [attempt, result] : heard.results) {
+        recorder.run(std::chrono::minutes{10});
+        RC_ASSERT(recorder.results.size() == count);
+        for (auto const& [attempt, result] : recorder.results) {
             RC_ASSERT(result.end == decide::attempt_end::complete);
         }
     }));
--- a/tests/bench/wrong_policy.hpp
+++ b/tests/bench/faulty_policy.hpp
@@ -1,5 +1,5 @@
-#ifndef CAPERJUNCTION_TESTS_BENCH_WRONG_POLICY_HPP
-#define CAPERJUNCTION_TESTS_BENCH_WRONG_POLICY_HPP
+#ifndef CAPERJUNCTION_TESTS_BENCH_FAULTY_POLICY_HPP
+#define CAPERJUNCTION_TESTS_BENCH_FAULTY_POLICY_HPP
 
 #include "bench/policy_bench/baselines.hpp"
 #include "bench/policy_bench/simulation.hpp"
@@ -11,33 +11,36 @@
 
 namespace caperjunction::tests {
 
-/// Changes what a right policy decided; one for each host.
-using twist = std::function<void(
+/// Modifies the decisions of a correct policy; one per host.
+using decision_filter = std::function<void(
     decide::event const&, model::time_point, std::vector<decide::decision>&)>;
 
-/// A strict priority policy whose decisions pass through a twist.
-inline bench::policy_maker make_wrong(std::function<twist()> const& make_twist)
+/// Creates a strict priority policy whose decisions pass through a filter.
+inline bench::policy_maker
+make_faulty(std::function<decision_filter()> const& make_filter)
 {
-    return [make_twist](decide::router_settings const& settings) {
+    return [make_filter](decide::router_settings const& settings) {
         bench::policy made = bench::make_strict_priority(settings);
-        made.handle = [right = made.handle, twisted = make_twist()](
+        made.handle = [correct = made.handle, filter = make_filter()](
                           decide::event const& event,
                           model::time_point now,
                           std::vector<decide::decision>& out) {
-            right(event, now, out);
-            twisted(event, now, out);
+            correct(event, now, out);
+            filter(event, now, out);
         };
         return made;
     };
 }
 
-/// How often a violation of this kind came up in a short run.
-inline std::uint32_t count_violations(std::string const& kind,
-                                      std::function<twist()> const& make_twist,
-                                      bench::scenario const& what)
+/// Returns how often a violation of this kind is recorded in a run.
+inline std::uint32_t
+count_violations(std::string const& kind,
+                 std::function<decision_filter()> const& make_filter,
+                 bench::scenario const& what)
 {
     auto const where = bench::make_deployment("kitanomine");
-    auto const result = bench::simulate(where, what, make_wrong(make_twist), 1);
+    auto const result =
+        bench::simulate(where, what, make_faulty(make_filter), 1);
     auto const found = std::find_if(result.violations.begin(),
                                     result.violations.end(),
                                     [&kind](bench::violation const& one) {
--- a/tests/bench/golden_test.cpp
+++ b/tests/bench/golden_test.cpp
@@ -17,8 +17,8 @@
 std::filesystem::path const folder =
     std::filesystem::path(SOURCE_ROOT) / "tests/bench/golden";
 
-/// Set to write the files anew; what changed is then read in the diff.
-constexpr char const* write_switch = "CAPERJUNCTION_WRITE_GOLDEN";
+/// If set, the files are rewritten; review the changes in the diff.
+constexpr char const* write_variable = "CAPERJUNCTION_WRITE_GOLDEN";
 
 std::string run_small(std::string const& scenario, char const* policy)
 {
@@ -49,7 +49,7 @@
 
 void check_all(char const* policy)
 {
-    bool const writes = std::getenv(write_switch) != nullptr;
+    bool const writes = std::getenv(write_variable) != nullptr;
     for (std::string const& scenario : bench::scenario_names()) {
         auto const path = folder / (scenario + "." + policy + ".json");
         std::string const made = run_small(scenario, policy);
@@ -63,16 +63,16 @@
 
 } // namespace
 
-// A baseline never changes: if one of these differs, the bench does, and all
-// figures measured with it before are void.
-TEST_CASE("the bench gives the recorded outcome of each scenario")
+// A baseline never changes. If one of these files differs, the simulation has
+// changed, and all figures measured with it before are invalid.
+TEST_CASE("a baseline gives the recorded result of each scenario")
 {
     check_all("strict_priority");
 }
 
-// The outcome that callers meet is to change only where somebody meant it to:
-// a change of the decisions shows here in the diff of these files.
-TEST_CASE("the decisions give the recorded outcome of each scenario")
+// The results for callers must only change intentionally: a change of the
+// decisions shows in the diff of these files.
+TEST_CASE("the decision logic gives the recorded result of each scenario")
 {
     check_all("caperjunction");
 }
--- a/tests/bench/reach_test.cpp
+++ b/tests/bench/reach_test.cpp
@@ -38,12 +38,12 @@
 
 } // namespace
 
-TEST_CASE("a run that reaches everything has no miss")
+TEST_CASE("a run that reaches all targets has no miss")
 {
     CHECK(misses(make_run("caperjunction")) == 0);
 }
 
-TEST_CASE("each thing that is not reached is a miss")
+TEST_CASE("each target that is not reached is a miss")
 {
     auto run = make_run("caperjunction");
     run.classes[0].within = 989;
@@ -62,7 +62,7 @@
     CHECK(misses(run) == 5);
 }
 
-TEST_CASE("the baselines set what has to be reached beside them")
+TEST_CASE("the baselines define minimum results")
 {
     auto const run = make_run("caperjunction");
     auto other = make_run("round_robin");
--- a/tests/bench/simulation_test.cpp
+++ b/tests/bench/simulation_test.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("a run depends on its seed and on nothing else")
+TEST_CASE("a run depends only on its seed")
 {
     for (std::string const& policy : bench::policy_names()) {
         CHECK(short_run(policy.c_str(), 3) == short_run(policy.c_str(), 3));
@@ -31,13 +31,13 @@
     }
 }
 
-TEST_CASE("saturation asks for one and a half times the capacity")
+TEST_CASE("saturation demands one and a half times the capacity")
 {
     for (std::string const& name : bench::deployment_names()) {
         auto const where = bench::make_deployment(name);
         auto const what = bench::make_scenario("saturation");
         double work = 0.0;
-        for (auto const& plan : bench::draw_trace(where, what, 1)) {
+        for (auto const& plan : bench::generate_trace(where, what, 1)) {
             work += where.work(plan.prompt_tokens, plan.output_tokens);
         }
         double const share =
@@ -47,7 +47,7 @@
     }
 }
 
-TEST_CASE("the usual demand of each tier is within its share")
+TEST_CASE("the normal demand of each tier is within its share")
 {
     for (std::string const& name : bench::deployment_names()) {
         auto const where = bench::make_deployment(name);
@@ -59,7 +59,7 @@
     }
 }
 
-TEST_CASE("a name that does not exist is an error that names the remedy")
+TEST_CASE("a name that does not exist is an error with a remedy")
 {
     CHECK_THROWS_AS(bench::parse_plan("osaka", "steady", "all", "1"),
                     model::error);
@@ -68,7 +68,7 @@
     CHECK_THROWS_AS(bench::parse_plan("all", "all", "all", "x"), model::error);
     try {
         bench::parse_plan("all", "calm", "all", "1");
-    } catch (model::error const& wrong) {
-        CHECK_FALSE(wrong.remedy().empty());
+    } catch (model::error const& failure) {
+        CHECK_FALSE(failure.remedy().empty());
     }
 }
