--- a/src/net/peer_codec.cpp
+++ b/src/net/peer_codec.cpp
@@ -41,17 +41,18 @@
     std::string bytes;
     bytes.reserve(frame_prefix_bytes + builder.GetSize());
     std::uint32_t const size = builder.GetSize();
-    for (std::size_t place = 0; place < frame_prefix_bytes; ++place) {
+    for (std::size_t index = 0; index < frame_prefix_bytes; ++index) {
         constexpr unsigned byte_bits = 8;
-        bytes.push_back(static_cast<char>(size >> (byte_bits * place)));
+        bytes.push_back(static_cast<char>(size >> (byte_bits * index)));
     }
     bytes.append(reinterpret_cast<char const*>(builder.GetBufferPointer()),
                  size);
     return bytes;
 }
 
-// Whoever reaches the port may send anything. A length that leads outside of
-// the frame would read foreign memory; the verifier walks all of them first.
+// Any process that reaches the port can send arbitrary bytes. The verifier
+// checks all offsets and lengths first; without it, a length that points
+// outside of the frame reads out of bounds.
 peer_frame decode(std::uint8_t const* bytes, std::size_t size)
 {
     flatbuffers::Verifier verifier(bytes, size);
--- a/src/net/peer_dialer.hpp
+++ b/src/net/peer_dialer.hpp
@@ -17,13 +17,13 @@
 
 namespace caperjunction::net {
 
-/// Keeps up the connection from this host to one peer, over which all
-/// messages to that peer go.
+/// Maintains the connection from this host to one peer, which carries all
+/// messages to that peer.
 ///
-/// Something between two hosts may forget a connection, so that it stays
-/// open and carries nothing. One notices it as pings without an answer. That
-/// condemns the connection only: a fresh one is made at once, and only if
-/// that fails too is the peer told of as disconnected.
+/// A middlebox may lose its state of a connection, which then stays open but
+/// carries no data. The symptom is unanswered pings. Silence ends only the
+/// connection: a new one is opened immediately, and the peer is reported as
+/// disconnected only if that one fails too.
 ///
 /// Thread safety: none; used only by the thread that runs its loop.
 class peer_dialer
@@ -44,16 +44,17 @@
                 peer_link_counters& counters,
                 callbacks const& calls);
 
-    /// Whether the connection is to be kept up though nothing is sent.
-    void keep(bool wanted);
+    /// Sets whether the connection stays open while it is idle.
+    void set_persistent(bool persistent);
 
-    /// A peer that is replaced comes back at another address.
-    void move_to(model::endpoint const& address);
+    /// Sets the address, which changes when a peer is replaced. Reconnects
+    /// unless idle.
+    void set_address(model::endpoint const& address);
 
-    /// False if the queue is full.
+    /// Returns false if the queue is full.
     bool send(std::string const& bytes);
 
-    /// To be called every `tick_period`.
+    /// Sends pings and enforces timeouts. Call every `tick_period`.
     void tick();
 
     bool is_connected() const
@@ -68,17 +69,17 @@
     {
         idle,
         connecting,
-        proving,
+        authenticating,
         ready,
-        /// The last try failed; the next one is due later.
+        /// The last attempt failed; the next one starts after a delay.
         waiting,
     };
 
     void connect();
-    void take(peer_frame const& frame);
-    void take_challenge(peer_challenge const& challenge);
-    void take_welcome(peer_welcome const& welcome);
-    void lose(model::error const* error);
+    void handle(peer_frame const& frame);
+    void handle_challenge(peer_challenge const& challenge);
+    void handle_welcome(peer_welcome const& welcome);
+    void handle_loss(model::error const* error);
     void drop_connection();
 
     std::string m_peer;
@@ -90,15 +91,15 @@
     std::shared_ptr<peer_connection> m_connection;
     peer_handshake m_handshake;
     stage m_stage = stage::idle;
-    bool m_wanted = false;
-    /// Told of as connected, and not as disconnected since.
-    bool m_told_connected = false;
+    bool m_is_persistent = false;
+    /// Reported as connected, and not as disconnected since.
+    bool m_reported_connected = false;
     std::deque<std::string> m_pending;
     std::size_t m_pending_bytes = 0;
-    std::uint64_t m_pings = 0;
+    std::uint64_t m_last_ping = 0;
     model::time_point m_deadline{};
-    model::time_point m_heard{};
-    model::time_point m_used{};
+    model::time_point m_received_at{};
+    model::time_point m_used_at{};
     model::time_point m_next_ping{};
 };
 
--- a/src/net/sockets.cpp
+++ b/src/net/sockets.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-void send_at_once(evhttp_connection* connection)
+void set_no_delay(evhttp_connection* connection)
 {
     int const on = 1;
     setsockopt(socket_of(connection), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -33,19 +33,21 @@
            == 0;
 }
 
-void write_now(evhttp_request* request)
+void flush_output(evhttp_request* request)
 {
     evhttp_connection* const connection =
         evhttp_request_get_connection(request);
     bufferevent* const stream = evhttp_connection_get_bufferevent(connection);
     evbuffer* const output = bufferevent_get_output(stream);
-    // A bufferevent keeps its output from being drained by others; this is
-    // its own thread, between two of its own writes.
+    // A bufferevent freezes its output buffer against draining by other code.
+    // Unfreezing is safe here: this is the bufferevent's own thread, between
+    // two of its writes.
     evbuffer_unfreeze(output, 1);
     evbuffer_write(output, socket_of(connection));
     evbuffer_freeze(output, 1);
     if (evbuffer_get_length(output) == 0) {
-        // Nothing is left for the loop; the next write enables it again.
+        // No output is left for the loop; the next write enables EV_WRITE
+        // again.
         bufferevent_disable(stream, EV_WRITE);
     }
 }
--- a/tests/fuzz/caller_request.cpp
+++ b/tests/fuzz/caller_request.cpp
@@ -1,5 +1,6 @@
-// Any bytes as the body of a caller's text request: read, or refused with a
-// remedy; and the body for the engine is one that reads the same again.
+// Parses arbitrary bytes as the body of a caller's text request. They are
+// either accepted or refused with a remedy, and the body for the engine parses
+// to the same request again.
 #include "net/caller_request.hpp"
 #include "model/error.hpp"
 
@@ -13,7 +14,7 @@
 
 constexpr std::uint32_t output_bound = 4096;
 
-void read_as(net::text_interface interface, std::string_view body)
+void check_request(net::text_interface interface, std::string_view body)
 {
     net::caller_request request;
     try {
@@ -42,7 +43,7 @@
                                       std::size_t size)
 {
     std::string_view const text(reinterpret_cast<char const*>(data), size);
-    read_as(net::text_interface::chat, text);
-    read_as(net::text_interface::completion, text);
+    check_request(net::text_interface::chat, text);
+    check_request(net::text_interface::completion, text);
     return 0;
 }
