--- a/bench/policy_bench/auditor.cpp
+++ b/bench/policy_bench/auditor.cpp
@@ -4,17 +4,17 @@
 
 namespace caperjunction::bench {
 
-auditor::auditor(deployment const& where, violation_list& into)
-    : m_deployment(where)
+auditor::auditor(deployment const& deployment, violation_list& into)
+    : m_deployment(deployment)
     , m_violations(into)
-    , m_ledger(where)
-    , m_late_counts(where.loads.size())
+    , m_ledger(deployment)
+    , m_late_counts(deployment.loads.size())
 {
 }
 
-auditor::queue_key auditor::key_of(send const& which)
+auditor::queue_key auditor::key_of(send const& request)
 {
-    return {which.serving_host, {which.plan->load, which.plan->team}};
+    return {request.serving_host, {request.plan->load, request.plan->team}};
 }
 
 std::uint32_t auditor::rank(std::size_t load) const
@@ -46,75 +46,75 @@
     m_cut = is_cut;
 }
 
-void auditor::add_waiting(send const& which, model::time_point now)
+void auditor::add_waiting(send const& request, model::time_point now)
 {
-    m_queues[key_of(which)][which.id.value] = {&which, now, {}};
+    m_queues[key_of(request)][request.id.value] = {&request, now, {}};
 }
 
-void auditor::remove_waiting(send const& which)
+void auditor::remove_waiting(send const& request)
 {
-    m_queues[key_of(which)].erase(which.id.value);
+    m_queues[key_of(request)].erase(request.id.value);
 }
 
-void auditor::dispatched(send const& which, model::time_point now)
+void auditor::dispatched(send const& request, model::time_point now)
 {
-    if (which.attempts == 1) {
-        for (auto& [id, other] : m_queues[key_of(which)]) {
-            bool const earlier = other.which->at < which.at;
+    if (request.attempts == 1) {
+        for (auto& [id, other] : m_queues[key_of(request)]) {
+            bool const earlier = other.request->at < request.at;
             if (earlier && other.passed_over == model::time_point{}) {
                 other.passed_over = now;
             }
         }
-        m_ledger.dispatched(*which.plan, now);
-        recent_event const own{now, which.serving_host, which.plan->load};
+        m_ledger.dispatched(*request.plan, now);
+        recent_event const own{now, request.serving_host, request.plan->load};
         check_recent(m_refusals, own, false);
         m_dispatches.push_back(own);
     }
 }
 
-void auditor::refused(send const& which,
+void auditor::refused(send const& request,
                       decide::refuse const& how,
                       model::time_point now)
 {
     if (how.outcome == model::outcome::not_run
         && how.retry_after.count() <= 0) {
-        record("refusal_without_retry_after", which, now);
+        record("refusal_without_retry_after", request, now);
     }
     // A quarantined request is refused for its effect on engines, not for its
     // rank; a request that has run in part is not shed but has failed.
-    if (how.kind == model::error_kind::quarantined || which.attempts > 0) {
+    if (how.kind == model::error_kind::quarantined || request.attempts > 0) {
         return;
     }
-    check_wait(which, now);
-    check_delayed_refusal(which, now);
-    check_queues(which, now);
-    recent_event const own{now, which.serving_host, which.plan->load};
+    check_wait(request, now);
+    check_delayed_refusal(request, now);
+    check_queues(request, now);
+    recent_event const own{now, request.serving_host, request.plan->load};
     check_recent(m_dispatches, own, true);
     m_refusals.push_back(own);
 }
 
-void auditor::preempted(send const& which, model::time_point now)
+void auditor::preempted(send const& request, model::time_point now)
 {
-    recent_event const own{now, which.serving_host, which.plan->load};
-    check_queues(which, now);
+    recent_event const own{now, request.serving_host, request.plan->load};
+    check_queues(request, now);
     m_refusals.push_back(own);
 }
 
-void auditor::first_answer(send const& which, model::time_point now)
+void auditor::first_answer(send const& request, model::time_point now)
 {
-    check_wait(which, now);
+    check_wait(request, now);
 }
 
-void auditor::check_queues(send const& which, model::time_point now)
+void auditor::check_queues(send const& request, model::time_point now)
 {
     for (auto const& [key, queue] : m_queues) {
-        if (!displaces(which.plan->load, key.second.first)
-            || !could_reach(which.serving_host, key.first)) {
+        if (!displaces(request.plan->load, key.second.first)
+            || !could_reach(request.serving_host, key.first)) {
             continue;
         }
         for (auto const& [id, lower] : queue) {
             if (now - lower.since >= digest_tolerance) {
-                record("higher_tier_refused_while_lower_queued", which, now);
+                record("higher_tier_refused_while_lower_queued", request, now);
                 return;
             }
         }
@@ -142,43 +142,45 @@
     }
 }
 
-void auditor::check_delayed_refusal(send const& which, model::time_point now)
+void auditor::check_delayed_refusal(send const& request, model::time_point now)
 {
-    lists::service_class const& own = m_deployment.class_of(which.plan->load);
-    late_counts& counts = m_late_counts[which.plan->load];
+    lists::service_class const& own = m_deployment.class_of(request.plan->load);
+    late_counts& counts = m_late_counts[request.plan->load];
     ++counts.refusals;
-    if (now - which.at > own.max_wait / 2) {
+    if (now - request.at > own.max_wait / 2) {
         ++counts.late;
     }
-    send_queue& queue = m_queues[key_of(which)];
-    auto const found = queue.find(which.id.value);
+    send_queue& queue = m_queues[key_of(request)];
+    auto const found = queue.find(request.id.value);
     if (found == queue.end()) {
         return;
     }
     model::time_point const passed = found->second.passed_over;
     if (passed != model::time_point{} && now - passed > pass_over_tolerance) {
-        record("refusal_held_back_after_passing_over", which, now);
+        record("refusal_held_back_after_passing_over", request, now);
     }
 }
 
-void auditor::check_wait(send const& which, model::time_point now)
+void auditor::check_wait(send const& request, model::time_point now)
 {
     auto const bound =
-        m_deployment.class_of(which.plan->load).max_wait + wait_tolerance;
-    if (now - which.at > bound) {
-        record("waited_longer_than_stated", which, now);
+        m_deployment.class_of(request.plan->load).max_wait + wait_tolerance;
+    if (now - request.at > bound) {
+        record("waited_longer_than_stated", request, now);
     }
 }
 
-void auditor::record(char const* kind, send const& which, model::time_point now)
+void auditor::record(char const* kind,
+                     send const& request,
+                     model::time_point now)
 {
     m_violations.record(
         kind,
         fmt::format("{} of {} at {:.3f} s after {:.3f} s",
-                    m_deployment.loads[which.plan->load].service_class,
-                    m_deployment.hosts[which.serving_host].name,
+                    m_deployment.loads[request.plan->load].service_class,
+                    m_deployment.hosts[request.serving_host].name,
                     model::seconds(now - model::time_point{}).count(),
-                    model::seconds(now - which.at).count()));
+                    model::seconds(now - request.at).count()));
 }
 
 void auditor::finish()
--- a/bench/policy_bench/auditor.hpp
+++ b/bench/policy_bench/auditor.hpp
@@ -43,25 +43,25 @@
     /// Allowed delay of a first token after the class's `max_wait`.
     static constexpr std::chrono::seconds wait_tolerance{2};
 
-    auditor(deployment const& where, violation_list& into);
+    auditor(deployment const& deployment, violation_list& into);
 
     void cut(bool is_cut);
     /// The send starts to wait at its serving host.
-    void add_waiting(send const& which, model::time_point now);
-    void remove_waiting(send const& which);
-    void dispatched(send const& which, model::time_point now);
-    void refused(send const& which,
+    void add_waiting(send const& request, model::time_point now);
+    void remove_waiting(send const& request);
+    void dispatched(send const& request, model::time_point now);
+    void refused(send const& request,
                  decide::refuse const& how,
                  model::time_point now);
     /// The policy cancelled an attempt although the caller still waits.
-    void preempted(send const& which, model::time_point now);
-    void first_answer(send const& which, model::time_point now);
+    void preempted(send const& request, model::time_point now);
+    void first_answer(send const& request, model::time_point now);
     void finish();
 
 private:
     struct waiting_send
     {
-        send const* which = nullptr;
+        send const* request = nullptr;
         model::time_point since{};
         /// When a later send was dispatched first; zero if none was.
         model::time_point passed_over{};
@@ -84,18 +84,18 @@
         std::pair<std::size_t, std::pair<std::size_t, std::size_t>>;
     using send_queue = std::map<std::uint64_t, waiting_send>;
 
-    static queue_key key_of(send const& which);
+    static queue_key key_of(send const& request);
     std::uint32_t rank(std::size_t load) const;
     bool same_upstreams(std::size_t left, std::size_t right) const;
     bool displaces(std::size_t higher, std::size_t lower) const;
     bool could_reach(std::size_t from, std::size_t to) const;
-    void check_queues(send const& which, model::time_point now);
+    void check_queues(send const& request, model::time_point now);
     void check_recent(std::deque<recent_event>& others,
                       recent_event const& own,
                       bool own_is_higher);
-    void check_delayed_refusal(send const& which, model::time_point now);
-    void check_wait(send const& which, model::time_point now);
-    void record(char const* kind, send const& which, model::time_point now);
+    void check_delayed_refusal(send const& request, model::time_point now);
+    void check_wait(send const& request, model::time_point now);
+    void record(char const* kind, send const& request, model::time_point now);
 
     deployment const& m_deployment;
     violation_list& m_violations;
--- a/bench/policy_bench/callers.cpp
+++ b/bench/policy_bench/callers.cpp
@@ -4,13 +4,13 @@
 
 namespace caperjunction::bench {
 
-callers::callers(deployment const& where,
-                 scenario const& what,
+callers::callers(deployment const& deployment,
+                 scenario const& scenario,
                  std::vector<planned_request> const& trace,
                  event_queue& queue,
                  fleet& hosts)
-    : m_deployment(where)
-    , m_scenario(what)
+    : m_deployment(deployment)
+    , m_scenario(scenario)
     , m_queue(queue)
     , m_fleet(hosts)
     , m_open_callers(trace.size())
@@ -37,15 +37,15 @@
     }
 }
 
-std::size_t callers::balance(caller const& who) const
+std::size_t callers::balance(caller const& sender) const
 {
     std::size_t const hosts = m_deployment.hosts.size();
-    std::size_t const first = who.plan->balancer % hosts;
-    if (who.sends == 0) {
+    std::size_t const first = sender.plan->balancer % hosts;
+    if (sender.sends == 0) {
         return first;
     }
     std::string const& region = m_deployment.hosts[first].region;
-    std::uint64_t const pick = who.plan->balancer / hosts + who.sends;
+    std::uint64_t const pick = sender.plan->balancer / hosts + sender.sends;
     std::vector<std::size_t> near;
     for (std::size_t host = 0; host < hosts; ++host) {
         if (m_deployment.hosts[host].region == region) {
@@ -57,28 +57,28 @@
 
 void callers::send_now(std::size_t index)
 {
-    caller& who = m_callers[index];
-    if (who.done) {
+    caller& sender = m_callers[index];
+    if (sender.done) {
         return;
     }
-    std::size_t const host = balance(who);
-    ++who.sends;
+    std::size_t const host = balance(sender);
+    ++sender.sends;
     // A refusal may arrive before `add_request` returns; it needs this index.
-    who.send = m_fleet.sends().size();
-    m_fleet.add_request(*who.plan, index, who.sends, host);
+    sender.send = m_fleet.sends().size();
+    m_fleet.add_request(*sender.plan, index, sender.sends, host);
     schedule_give_up(index);
 }
 
 void callers::schedule_give_up(std::size_t index)
 {
-    caller const& who = m_callers[index];
-    std::size_t const which = who.send;
+    caller const& sender = m_callers[index];
+    std::size_t const send_index = sender.send;
     m_queue.after(
-        m_deployment.class_of(who.plan->load).max_wait * give_up_factor,
-        [this, index, which] {
-            send const& sent = m_fleet.sends()[which];
+        m_deployment.class_of(sender.plan->load).max_wait * give_up_factor,
+        [this, index, send_index] {
+            send const& sent = m_fleet.sends()[send_index];
             if (sent.state != send_state::done && !sent.has_answer()) {
-                m_fleet.give_up(which);
+                m_fleet.give_up(send_index);
                 close(index);
             }
         });
@@ -86,12 +86,12 @@
 
 void callers::leave(std::size_t index)
 {
-    caller& who = m_callers[index];
-    if (who.done) {
+    caller& sender = m_callers[index];
+    if (sender.done) {
         return;
     }
-    who.left = true;
-    m_fleet.hang_up(who.send);
+    sender.left = true;
+    m_fleet.hang_up(sender.send);
     close(index);
 }
 
@@ -103,23 +103,24 @@
     }
 }
 
-bool callers::may_resend(caller const& who, send const& which) const
+bool callers::may_resend(caller const& sender, send const& request) const
 {
-    bool const repeatable = m_deployment.loads[who.plan->load].service.empty();
-    bool const failed = which.end == send_end::failed && repeatable;
-    if (which.end != send_end::refused && !failed) {
+    bool const repeatable =
+        m_deployment.loads[sender.plan->load].service.empty();
+    bool const failed = request.end == send_end::failed && repeatable;
+    if (request.end != send_end::refused && !failed) {
         return false;
     }
-    if (who.plan->killer) {
-        return who.sends < max_killer_sends;
+    if (sender.plan->killer) {
+        return sender.sends < max_killer_sends;
     }
-    return who.sends <= m_scenario.resends;
+    return sender.sends <= m_scenario.resends;
 }
 
-void callers::answered(send const& which, model::milliseconds retry_after)
+void callers::answered(send const& request, model::milliseconds retry_after)
 {
-    caller const& who = m_callers[which.caller];
-    if (which.end == send_end::hung_up) {
+    caller const& sender = m_callers[request.caller];
+    if (request.end == send_end::hung_up) {
         return;
     }
     auto const requested_delay =
@@ -128,17 +129,17 @@
     constexpr double max_jitter = 0.2;
     constexpr std::uint64_t jitter_steps = 1'000;
     double const jitter =
-        max_jitter * static_cast<double>(who.plan->balancer % jitter_steps)
+        max_jitter * static_cast<double>(sender.plan->balancer % jitter_steps)
         / static_cast<double>(jitter_steps);
     auto const delay = std::chrono::duration_cast<std::chrono::nanoseconds>(
         requested_delay * (1.0 + jitter));
     bool const too_late =
         m_queue.now() + delay > model::time_point{} + m_scenario.length;
-    if (too_late || !may_resend(who, which)) {
-        close(which.caller);
+    if (too_late || !may_resend(sender, request)) {
+        close(request.caller);
         return;
     }
-    m_queue.after(delay, [this, index = which.caller] {
+    m_queue.after(delay, [this, index = request.caller] {
         send_now(index);
     });
 }
--- a/bench/policy_bench/callers.hpp
+++ b/bench/policy_bench/callers.hpp
@@ -27,8 +27,8 @@
 {
 public:
     /// \pre `trace` outlives this object and does not change.
-    callers(deployment const& where,
-            scenario const& what,
+    callers(deployment const& deployment,
+            scenario const& scenario,
             std::vector<planned_request> const& trace,
             event_queue& queue,
             fleet& hosts);
@@ -38,7 +38,7 @@
     void start();
 
     /// Handles the final answer of a send.
-    void answered(send const& which, model::milliseconds retry_after);
+    void answered(send const& request, model::milliseconds retry_after);
 
     bool all_done() const
     {
@@ -59,8 +59,8 @@
     void schedule_give_up(std::size_t index);
     void leave(std::size_t index);
     void close(std::size_t index);
-    bool may_resend(caller const& who, send const& which) const;
-    std::size_t balance(caller const& who) const;
+    bool may_resend(caller const& sender, send const& request) const;
+    std::size_t balance(caller const& sender) const;
 
     deployment const& m_deployment;
     scenario const& m_scenario;
--- a/bench/policy_bench/fleet.cpp
+++ b/bench/policy_bench/fleet.cpp
@@ -4,31 +4,31 @@
 
 namespace caperjunction::bench {
 
-fleet::fleet(deployment const& where,
+fleet::fleet(deployment const& deployment,
              std::uint64_t seed,
              policy_maker const& make,
              event_queue& queue,
              network& net,
              auditor& watch,
              violation_list& violations)
-    : m_deployment(where)
+    : m_deployment(deployment)
     , m_queue(queue)
     , m_network(net)
     , m_auditor(watch)
     , m_violations(violations)
-    , m_upstreams(where, queue, [this](std::size_t upstream) {
+    , m_upstreams(deployment, queue, [this](std::size_t upstream) {
         return hooks_of(upstream);
     })
 {
     constexpr std::uint64_t seeds_apart = 1'000;
-    for (model::host const& host : where.hosts) {
+    for (model::host const& host : deployment.hosts) {
         decide::router_settings settings;
         settings.host = host.name;
         settings.region = host.region;
         settings.data_centre = host.data_centre;
         settings.seed = seed * seeds_apart + m_hosts.size();
-        m_hosts.push_back(
-            {make(settings), where.place_of(host.region, host.data_centre)});
+        m_hosts.push_back({make(settings),
+                           deployment.place_of(host.region, host.data_centre)});
     }
 }
 
@@ -113,9 +113,9 @@
         }
         // A send that was dispatched to another upstream at once is not
         // preempted.
-        send* const which = find_send(host, cancelled->id);
-        if (which != nullptr && which->state == send_state::waiting) {
-            m_auditor.preempted(*which, m_queue.now());
+        send* const request = find_send(host, cancelled->id);
+        if (request != nullptr && request->state == send_state::waiting) {
+            m_auditor.preempted(*request, m_queue.now());
         }
     }
 }
@@ -141,14 +141,14 @@
     return m_sends.size() - 1;
 }
 
-decide::request fleet::describe(send const& which, bool handed_over) const
+decide::request fleet::describe(send const& request, bool handed_over) const
 {
-    planned_request const& plan = *which.plan;
+    planned_request const& plan = *request.plan;
     class_load const& load = m_deployment.loads[plan.load];
     lists::customer const& customer =
         m_deployment.catalogue->plans().customers.front();
     decide::request made;
-    made.id = which.id;
+    made.id = request.id;
     made.customer = customer.name;
     made.team = customer.teams[plan.team].name;
     made.plan = load.plan;
@@ -160,13 +160,13 @@
     made.fingerprint = plan.fingerprint;
     made.repeatable = load.service.empty();
     made.handed_over = handed_over;
-    made.arrived = which.at;
+    made.arrived = request.at;
     return made;
 }
 
-void fleet::hang_up(std::size_t which)
+void fleet::hang_up(std::size_t send_index)
 {
-    send& gone = m_sends[which];
+    send& gone = m_sends[send_index];
     if (gone.state == send_state::done) {
         return;
     }
@@ -179,34 +179,34 @@
     m_hanging_up = false;
 }
 
-void fleet::give_up(std::size_t which)
+void fleet::give_up(std::size_t send_index)
 {
-    send const& gone = m_sends[which];
+    send const& gone = m_sends[send_index];
     m_violations.record("no_answer_in_time",
                         m_deployment.loads[gone.plan->load].service_class);
-    hang_up(which);
+    hang_up(send_index);
 }
 
-void fleet::set_waiting(send& which)
+void fleet::set_waiting(send& request)
 {
-    which.state = send_state::waiting;
-    which.attempt = 0;
-    m_auditor.add_waiting(which, m_queue.now());
+    request.state = send_state::waiting;
+    request.attempt = 0;
+    m_auditor.add_waiting(request, m_queue.now());
 }
 
-void fleet::finish(send& which, send_end end, model::milliseconds retry_after)
+void fleet::finish(send& request, send_end end, model::milliseconds retry_after)
 {
-    m_auditor.remove_waiting(which);
-    which.state = send_state::done;
-    which.end = end;
-    which.ended = m_queue.now();
-    m_answered(which, retry_after);
+    m_auditor.remove_waiting(request);
+    request.state = send_state::done;
+    request.end = end;
+    request.ended = m_queue.now();
+    m_answered(request, retry_after);
 }
 
-std::uint64_t fleet::request_bytes(send const& which) const
+std::uint64_t fleet::request_bytes(send const& request) const
 {
-    return message_bytes + which.plan->prompt_tokens * bytes_per_prompt_token
-           + which.relayed * bytes_per_prompt_token;
+    return message_bytes + request.plan->prompt_tokens * bytes_per_prompt_token
+           + request.relayed * bytes_per_prompt_token;
 }
 
 } // namespace caperjunction::bench
--- a/bench/policy_bench/fleet.hpp
+++ b/bench/policy_bench/fleet.hpp
@@ -40,7 +40,7 @@
     static constexpr std::uint64_t bytes_per_output_token = 120;
     static constexpr std::uint64_t message_bytes = 400;
 
-    fleet(deployment const& where,
+    fleet(deployment const& deployment,
           std::uint64_t seed,
           policy_maker const& make,
           event_queue& queue,
@@ -65,10 +65,10 @@
                             std::size_t host);
 
     /// Cancels a send; no effect if it has its final answer.
-    void hang_up(std::size_t which);
+    void hang_up(std::size_t send_index);
 
     /// Like `hang_up`, for a caller whose wait timed out; records a violation.
-    void give_up(std::size_t which);
+    void give_up(std::size_t send_index);
 
     /// Passes an event to a host's policy and executes its decisions.
     void handle_event(std::size_t host, decide::event const& event);
@@ -101,7 +101,7 @@
     upstream_hooks hooks_of(std::size_t upstream);
     void tick(std::size_t host);
     void broadcast_digest(std::size_t host);
-    decide::request describe(send const& which, bool handed_over) const;
+    decide::request describe(send const& request, bool handed_over) const;
 
     // Decisions of a host's policy.
     void apply(std::size_t host, decide::decision const& decision);
@@ -110,9 +110,9 @@
     void apply(std::size_t host, decide::cancel_attempt const& decided);
     void apply(std::size_t host, decide::hand_over const& decided);
     bool may_dispatch(std::size_t host,
-                      send const* which,
+                      send const* request,
                       decide::dispatch const& decided);
-    void check_refusal(send const& which, decide::refuse const& decided);
+    void check_refusal(send const& request, decide::refuse const& decided);
     /// Returns null and records a violation if the host does not have it.
     send* find_send(std::size_t host, model::request_id id);
 
@@ -123,27 +123,27 @@
     void handle_tokens(std::uint64_t number, std::uint32_t tokens);
     void handle_end(std::uint64_t number, decide::attempt_end end);
     void handle_crash(std::size_t upstream);
-    void relay(std::size_t which, std::uint32_t tokens);
-    void complete(send& which);
+    void relay(std::size_t send_index, std::uint32_t tokens);
+    void complete(send& request);
 
     // Hand-overs between hosts.
-    void accept_hand_over(std::size_t which, std::size_t host);
-    void hand_back(std::size_t which);
+    void accept_hand_over(std::size_t send_index, std::size_t host);
+    void hand_back(std::size_t send_index);
     void break_cross_region_attempts();
     void break_cross_region_hand_overs();
 
-    void set_waiting(send& which);
-    void finish(send& which, send_end end, model::milliseconds retry_after);
-    std::uint64_t request_bytes(send const& which) const;
+    void set_waiting(send& request);
+    void finish(send& request, send_end end, model::milliseconds retry_after);
+    std::uint64_t request_bytes(send const& request) const;
 
     attempt& attempt_of(std::uint64_t number)
     {
         return m_attempts[number - 1];
     }
 
-    std::size_t index_of(send const& which) const
+    std::size_t index_of(send const& request) const
     {
-        return static_cast<std::size_t>(which.id.value & 0xffffffffULL) - 1;
+        return static_cast<std::size_t>(request.id.value & 0xffffffffULL) - 1;
     }
 
     deployment const& m_deployment;
--- a/bench/policy_bench/fleet_answers.cpp
+++ b/bench/policy_bench/fleet_answers.cpp
@@ -10,7 +10,7 @@
 {
     upstream_hooks hooks;
     hooks.tokens = [this, upstream](std::uint64_t number, std::uint32_t count) {
-        m_network.send(m_upstreams.where(upstream),
+        m_network.send(m_upstreams.place_of(upstream),
                        m_hosts[attempt_of(number).host].place,
                        bytes_per_output_token * count,
                        [this, number, count] {
@@ -19,7 +19,7 @@
     };
     hooks.ended = [this, upstream](job_result const& result) {
         attempt_of(result.attempt).result = result;
-        m_network.send(m_upstreams.where(upstream),
+        m_network.send(m_upstreams.place_of(upstream),
                        m_hosts[attempt_of(result.attempt).host].place,
                        message_bytes,
                        [this, number = result.attempt, end = result.end] {
@@ -37,9 +37,9 @@
                                std::uint32_t resume_offset)
 {
     attempt const& made = attempt_of(number);
-    send& which = m_sends[made.send];
+    send& request = m_sends[made.send];
     if (!m_upstreams.up(made.upstream)) {
-        m_network.send(m_upstreams.where(made.upstream),
+        m_network.send(m_upstreams.place_of(made.upstream),
                        m_hosts[made.host].place,
                        message_bytes,
                        [this, number] {
@@ -51,8 +51,8 @@
                        });
         return;
     }
-    ++which.accepted;
-    planned_request const& plan = *which.plan;
+    ++request.accepted;
+    planned_request const& plan = *request.plan;
     if (made.upstream >= m_upstreams.engine_count()) {
         m_upstreams.service(made.upstream).submit(number, plan.call_length);
         return;
@@ -71,28 +71,28 @@
 void fleet::handle_tokens(std::uint64_t number, std::uint32_t tokens)
 {
     attempt& from = attempt_of(number);
-    send& which = m_sends[from.send];
-    if (!from.open || from.abandoned || which.state == send_state::done) {
+    send& request = m_sends[from.send];
+    if (!from.open || from.abandoned || request.state == send_state::done) {
         return;
     }
     from.relayed += tokens;
-    which.relayed += tokens;
-    if (from.host == which.entry_host) {
+    request.relayed += tokens;
+    if (from.host == request.entry_host) {
         relay(from.send, tokens);
     } else {
         m_network.send(m_hosts[from.host].place,
-                       m_hosts[which.entry_host].place,
+                       m_hosts[request.entry_host].place,
                        bytes_per_output_token * tokens,
                        [this, index = from.send, tokens] {
                            relay(index, tokens);
                        });
     }
-    handle_event(from.host, decide::tokens_relayed{which.id, tokens});
+    handle_event(from.host, decide::tokens_relayed{request.id, tokens});
 }
 
-void fleet::relay(std::size_t which, std::uint32_t tokens)
+void fleet::relay(std::size_t send_index, std::uint32_t tokens)
 {
-    send& to = m_sends[which];
+    send& to = m_sends[send_index];
     if (to.state == send_state::done) {
         return;
     }
@@ -114,17 +114,17 @@
         return;
     }
     ended.open = false;
-    send& which = m_sends[ended.send];
+    send& request = m_sends[ended.send];
     if (end == decide::attempt_end::refused) {
-        --which.accepted;
+        --request.accepted;
     }
-    if (which.attempt == number) {
-        which.attempt = 0;
-        if (which.state != send_state::done) {
+    if (request.attempt == number) {
+        request.attempt = 0;
+        if (request.state != send_state::done) {
             if (end == decide::attempt_end::complete) {
-                complete(which);
+                complete(request);
             } else {
-                set_waiting(which);
+                set_waiting(request);
             }
         }
     }
@@ -132,22 +132,22 @@
     bool const cancelled = ended.abandoned;
     handle_event(
         ended.host,
-        decide::attempt_ended{which.id,
+        decide::attempt_ended{request.id,
                               m_upstreams.name(ended.upstream),
                               cancelled ? decide::attempt_end::cancelled : end,
-                              which.relayed,
+                              request.relayed,
                               ended.result.cached_tokens});
 }
 
-void fleet::complete(send& which)
+void fleet::complete(send& request)
 {
-    if (which.relayed != which.plan->output_tokens) {
+    if (request.relayed != request.plan->output_tokens) {
         m_violations.record("truncated_answer",
                             fmt::format("{} of {} tokens",
-                                        which.relayed,
-                                        which.plan->output_tokens));
+                                        request.relayed,
+                                        request.plan->output_tokens));
     }
-    std::size_t const index = index_of(which);
+    std::size_t const index = index_of(request);
     auto const hand_out = [this, index] {
         send& to = m_sends[index];
         if (to.state != send_state::done) {
@@ -155,13 +155,13 @@
             finish(to, send_end::ran, {});
         }
     };
-    if (which.serving_host == which.entry_host) {
+    if (request.serving_host == request.entry_host) {
         hand_out();
         return;
     }
-    which.state = send_state::moving;
-    m_network.send(m_hosts[which.serving_host].place,
-                   m_hosts[which.entry_host].place,
+    request.state = send_state::moving;
+    m_network.send(m_hosts[request.serving_host].place,
+                   m_hosts[request.entry_host].place,
                    message_bytes,
                    hand_out);
 }
@@ -177,7 +177,7 @@
     for (std::size_t host = 0; host < m_hosts.size(); ++host) {
         if (concerned[host]) {
             decide::engine_lost const lost{m_upstreams.name(upstream)};
-            m_network.send(m_upstreams.where(upstream),
+            m_network.send(m_upstreams.place_of(upstream),
                            m_hosts[host].place,
                            message_bytes,
                            [this, host, lost] {
@@ -187,9 +187,9 @@
     }
 }
 
-void fleet::accept_hand_over(std::size_t which, std::size_t host)
+void fleet::accept_hand_over(std::size_t send_index, std::size_t host)
 {
-    send& taken = m_sends[which];
+    send& taken = m_sends[send_index];
     if (taken.state == send_state::done) {
         return;
     }
@@ -198,9 +198,9 @@
     handle_event(host, decide::request_arrived{describe(taken, true)});
 }
 
-void fleet::hand_back(std::size_t which)
+void fleet::hand_back(std::size_t send_index)
 {
-    send& back = m_sends[which];
+    send& back = m_sends[send_index];
     if (back.state == send_state::done) {
         return;
     }
@@ -240,7 +240,7 @@
         attempt const& one = attempt_of(number);
         if (!one.open || one.unsent
             || m_network.reachable(m_hosts[one.host].place,
-                                   m_upstreams.where(one.upstream))) {
+                                   m_upstreams.place_of(one.upstream))) {
             continue;
         }
         if (one.upstream < m_upstreams.engine_count()) {
--- a/bench/policy_bench/fleet_decisions.cpp
+++ b/bench/policy_bench/fleet_decisions.cpp
@@ -38,63 +38,63 @@
 }
 
 bool fleet::may_dispatch(std::size_t host,
-                         send const* which,
+                         send const* request,
                          decide::dispatch const& decided)
 {
-    if (which == nullptr) {
+    if (request == nullptr) {
         return false;
     }
-    std::string const what = fmt::format("{} at {} to {}",
-                                         decided.id.value,
-                                         m_deployment.hosts[host].name,
-                                         decided.upstream);
+    std::string const description = fmt::format("{} at {} to {}",
+                                                decided.id.value,
+                                                m_deployment.hosts[host].name,
+                                                decided.upstream);
     if (m_upstreams.find(decided.upstream) == upstream_set::none) {
-        m_violations.record("dispatched_to_nowhere", what);
+        m_violations.record("dispatched_to_nowhere", description);
         return false;
     }
-    if (which->state != send_state::waiting) {
-        m_violations.record(which->state == send_state::done
+    if (request->state != send_state::waiting) {
+        m_violations.record(request->state == send_state::done
                                 ? "dispatched_after_final_answer"
                                 : "two_attempts_at_once",
-                            what);
+                            description);
         return false;
     }
     bool const repeatable =
-        m_deployment.loads[which->plan->load].service.empty();
-    if (!repeatable && which->accepted > 0) {
-        m_violations.record("second_run", what);
+        m_deployment.loads[request->plan->load].service.empty();
+    if (!repeatable && request->accepted > 0) {
+        m_violations.record("second_run", description);
     }
-    if (decided.resume_offset != which->relayed) {
+    if (decided.resume_offset != request->relayed) {
         m_violations.record("truncated_answer",
                             fmt::format("{}: resumed at {}, but {} relayed",
-                                        what,
+                                        description,
                                         decided.resume_offset,
-                                        which->relayed));
+                                        request->relayed));
     }
     return true;
 }
 
 void fleet::apply(std::size_t host, decide::dispatch const& decided)
 {
-    send* const which = find_send(host, decided.id);
-    if (!may_dispatch(host, which, decided)) {
+    send* const request = find_send(host, decided.id);
+    if (!may_dispatch(host, request, decided)) {
         return;
     }
     attempt made;
-    made.send = index_of(*which);
+    made.send = index_of(*request);
     made.host = host;
     made.upstream = m_upstreams.find(decided.upstream);
     m_attempts.push_back(made);
     std::uint64_t const number = m_attempts.size();
-    which->attempt = number;
-    ++which->attempts;
-    which->state = send_state::running;
-    m_auditor.dispatched(*which, m_queue.now());
-    m_auditor.remove_waiting(*which);
+    request->attempt = number;
+    ++request->attempts;
+    request->state = send_state::running;
+    m_auditor.dispatched(*request, m_queue.now());
+    m_auditor.remove_waiting(*request);
     bool const sent =
         m_network.send(m_hosts[host].place,
-                       m_upstreams.where(made.upstream),
-                       request_bytes(*which),
+                       m_upstreams.place_of(made.upstream),
+                       request_bytes(*request),
                        [this,
                         number,
                         priority = decided.priority,
@@ -109,74 +109,74 @@
     }
 }
 
-void fleet::check_refusal(send const& which, decide::refuse const& decided)
+void fleet::check_refusal(send const& request, decide::refuse const& decided)
 {
-    std::string const what =
+    std::string const description =
         fmt::format("{} of {}: {}",
-                    m_deployment.loads[which.plan->load].service_class,
-                    m_deployment.hosts[which.serving_host].name,
+                    m_deployment.loads[request.plan->load].service_class,
+                    m_deployment.hosts[request.serving_host].name,
                     decided.reason);
-    if (decided.outcome == model::outcome::not_run && which.accepted > 0) {
-        m_violations.record("not_run_though_it_ran", what);
+    if (decided.outcome == model::outcome::not_run && request.accepted > 0) {
+        m_violations.record("not_run_though_it_ran", description);
     }
-    if (which.relayed > 0 && !which.plan->killer) {
-        m_violations.record("truncated_answer", what);
+    if (request.relayed > 0 && !request.plan->killer) {
+        m_violations.record("truncated_answer", description);
     }
     if (decided.remedy.empty()) {
-        m_violations.record("refusal_without_remedy", what);
+        m_violations.record("refusal_without_remedy", description);
     }
 }
 
 void fleet::apply(std::size_t host, decide::refuse const& decided)
 {
-    send* const which = find_send(host, decided.id);
-    if (which == nullptr || which->end == send_end::hung_up) {
+    send* const request = find_send(host, decided.id);
+    if (request == nullptr || request->end == send_end::hung_up) {
         return;
     }
-    if (which->state == send_state::done) {
+    if (request->state == send_state::done) {
         m_violations.record("second_final_answer", decided.reason);
         return;
     }
-    check_refusal(*which, decided);
+    check_refusal(*request, decided);
     bool const not_run = decided.outcome == model::outcome::not_run;
-    std::size_t const index = index_of(*which);
-    if (which->attempt != 0) {
-        attempt_of(which->attempt).abandoned = true;
+    std::size_t const index = index_of(*request);
+    if (request->attempt != 0) {
+        attempt_of(request->attempt).abandoned = true;
     }
-    if (host != which->entry_host && not_run) {
+    if (host != request->entry_host && not_run) {
         // The entry host still has the request and may dispatch it elsewhere.
-        m_auditor.remove_waiting(*which);
-        which->state = send_state::moving;
+        m_auditor.remove_waiting(*request);
+        request->state = send_state::moving;
         m_network.send(m_hosts[host].place,
-                       m_hosts[which->entry_host].place,
+                       m_hosts[request->entry_host].place,
                        message_bytes,
                        [this, index] {
                            hand_back(index);
                        });
         return;
     }
-    m_auditor.refused(*which, decided, m_queue.now());
-    finish(*which,
+    m_auditor.refused(*request, decided, m_queue.now());
+    finish(*request,
            not_run ? send_end::refused : send_end::failed,
            decided.retry_after);
 }
 
 void fleet::apply(std::size_t host, decide::cancel_attempt const& decided)
 {
-    send* const which = find_send(host, decided.id);
-    if (which == nullptr || which->attempt == 0) {
+    send* const request = find_send(host, decided.id);
+    if (request == nullptr || request->attempt == 0) {
         return;
     }
-    std::uint64_t const number = which->attempt;
+    std::uint64_t const number = request->attempt;
     attempt& ended = attempt_of(number);
     ended.abandoned = true;
-    if (which->state != send_state::done) {
-        set_waiting(*which);
+    if (request->state != send_state::done) {
+        set_waiting(*request);
     }
     bool const is_engine = ended.upstream < m_upstreams.engine_count();
     bool const sent = m_network.send(
         m_hosts[host].place,
-        m_upstreams.where(ended.upstream),
+        m_upstreams.place_of(ended.upstream),
         message_bytes,
         [this, number, is_engine] {
             if (is_engine) {
@@ -194,25 +194,25 @@
 
 void fleet::apply(std::size_t host, decide::hand_over const& decided)
 {
-    send* const which = find_send(host, decided.id);
+    send* const request = find_send(host, decided.id);
     auto const target = std::find_if(m_deployment.hosts.begin(),
                                      m_deployment.hosts.end(),
                                      [&](auto const& one) {
                                          return one.name == decided.host;
                                      });
-    if (which == nullptr || which->state != send_state::waiting
-        || which->entry_host != host || target == m_deployment.hosts.end()) {
+    if (request == nullptr || request->state != send_state::waiting
+        || request->entry_host != host || target == m_deployment.hosts.end()) {
         m_violations.record("hand_over_out_of_place", decided.reason);
         return;
     }
-    std::size_t const index = index_of(*which);
+    std::size_t const index = index_of(*request);
     auto const to =
         static_cast<std::size_t>(target - m_deployment.hosts.begin());
-    m_auditor.remove_waiting(*which);
-    which->state = send_state::moving;
+    m_auditor.remove_waiting(*request);
+    request->state = send_state::moving;
     bool const sent = m_network.send(m_hosts[host].place,
                                      m_hosts[to].place,
-                                     request_bytes(*which),
+                                     request_bytes(*request),
                                      [this, index, to] {
                                          accept_hand_over(index, to);
                                      });
--- a/bench/policy_bench/run_plan.cpp
+++ b/bench/policy_bench/run_plan.cpp
@@ -68,14 +68,14 @@
 {
     std::vector<run_result> results;
     for (std::string const& deployment_name : plan.deployments) {
-        deployment const where = make_deployment(deployment_name);
+        deployment const deployment = make_deployment(deployment_name);
         for (std::string const& scenario_name : plan.scenarios) {
-            scenario what = make_scenario(scenario_name);
-            what.digest_period = plan.digest_period;
+            scenario scenario = make_scenario(scenario_name);
+            scenario.digest_period = plan.digest_period;
             for (std::string const& policy_name : plan.policies) {
                 for (std::uint64_t const seed : plan.seeds) {
-                    run_result one =
-                        simulate(where, what, find_policy(policy_name), seed);
+                    run_result one = simulate(
+                        deployment, scenario, find_policy(policy_name), seed);
                     one.deployment = deployment_name;
                     one.scenario = scenario_name;
                     one.policy = policy_name;
--- a/bench/policy_bench/score.cpp
+++ b/bench/policy_bench/score.cpp
@@ -6,13 +6,13 @@
 
 namespace caperjunction::bench {
 
-score::score(deployment const& where,
-             scenario const& what,
+score::score(deployment const& deployment,
+             scenario const& scenario,
              std::uint64_t seed,
              callers const& from,
              fleet const& hosts)
-    : m_deployment(where)
-    , m_scenario(what)
+    : m_deployment(deployment)
+    , m_scenario(scenario)
     , m_seed(seed)
     , m_callers(from)
     , m_fleet(hosts)
@@ -29,57 +29,60 @@
     return m_deployment.capacity() * model::seconds(m_scenario.length).count();
 }
 
-bool score::in_time(caller const& who) const
+bool score::in_time(caller const& sender) const
 {
-    send const& last = m_fleet.sends()[who.send];
+    send const& last = m_fleet.sends()[sender.send];
     return last.end == send_end::ran
-           && last.first_token - who.plan->when
-                  <= m_deployment.class_of(who.plan->load).first_token_target;
+           && last.first_token - sender.plan->when
+                  <= m_deployment.class_of(sender.plan->load)
+                         .first_token_target;
 }
 
-bool score::within(caller const& who) const
+bool score::within(caller const& sender) const
 {
-    send const& last = m_fleet.sends()[who.send];
-    if (!in_time(who)) {
+    send const& last = m_fleet.sends()[sender.send];
+    if (!in_time(sender)) {
         return false;
     }
     return last.relayed < 2
            || (last.last_token - last.first_token) / (last.relayed - 1)
-                  <= m_deployment.class_of(who.plan->load).inter_token_target;
+                  <= m_deployment.class_of(sender.plan->load)
+                         .inter_token_target;
 }
 
-bool score::left_in_time(caller const& who) const
+bool score::left_in_time(caller const& sender) const
 {
-    if (!who.left) {
+    if (!sender.left) {
         return false;
     }
-    send const& last = m_fleet.sends()[who.send];
+    send const& last = m_fleet.sends()[sender.send];
     model::time_point const until =
         last.has_answer() ? last.first_token
-                          : who.plan->when + who.plan->hangs_up_after;
-    return until - who.plan->when
-           <= m_deployment.class_of(who.plan->load).first_token_target;
+                          : sender.plan->when + sender.plan->hangs_up_after;
+    return until - sender.plan->when
+           <= m_deployment.class_of(sender.plan->load).first_token_target;
 }
 
-double score::work_of(caller const& who) const
+double score::work_of(caller const& sender) const
 {
-    return m_deployment.work(who.plan->prompt_tokens, who.plan->output_tokens);
+    return m_deployment.work(sender.plan->prompt_tokens,
+                             sender.plan->output_tokens);
 }
 
-double score::work_in_window(send const& which) const
+double score::work_in_window(send const& sent) const
 {
-    bool const begun = which.has_answer() && which.first_token <= window_end();
-    return m_deployment.work(begun ? which.plan->prompt_tokens : 0,
-                             which.relayed_in_window);
+    bool const begun = sent.has_answer() && sent.first_token <= window_end();
+    return m_deployment.work(begun ? sent.plan->prompt_tokens : 0,
+                             sent.relayed_in_window);
 }
 
-double score::settled_work(send const& which) const
+double score::settled_work(send const& sent) const
 {
     bool const begun =
-        which.has_answer() && which.first_token <= window_end()
-        && which.first_token >= model::time_point{} + m_scenario.settled();
-    return m_deployment.work(begun ? which.plan->prompt_tokens : 0,
-                             which.relayed_settled);
+        sent.has_answer() && sent.first_token <= window_end()
+        && sent.first_token >= model::time_point{} + m_scenario.settled();
+    return m_deployment.work(begun ? sent.plan->prompt_tokens : 0,
+                             sent.relayed_settled);
 }
 
 class_result score::describe(std::size_t load) const
@@ -98,35 +101,36 @@
     return made;
 }
 
-void score::count(caller const& who, class_result& into) const
+void score::count(caller const& sender, class_result& into) const
 {
-    send_end const end = m_fleet.sends()[who.send].end;
+    send_end const end = m_fleet.sends()[sender.send].end;
     ++into.offered;
     into.served += end == send_end::ran ? 1 : 0;
     into.refused += end == send_end::refused ? 1 : 0;
     into.failed += end == send_end::failed ? 1 : 0;
     into.hung_up += end == send_end::hung_up ? 1 : 0;
-    into.within += within(who) ? 1 : 0;
-    into.late += end == send_end::ran && !in_time(who) ? 1 : 0;
-    into.slow += in_time(who) && !within(who) ? 1 : 0;
-    into.not_counted += left_in_time(who) ? 1 : 0;
-    if (who.plan->team != 0 && !left_in_time(who)) {
+    into.within += within(sender) ? 1 : 0;
+    into.late += end == send_end::ran && !in_time(sender) ? 1 : 0;
+    into.slow += in_time(sender) && !within(sender) ? 1 : 0;
+    into.not_counted += left_in_time(sender) ? 1 : 0;
+    if (sender.plan->team != 0 && !left_in_time(sender)) {
         ++into.smaller_teams;
-        into.smaller_teams_within += within(who) ? 1 : 0;
+        into.smaller_teams_within += within(sender) ? 1 : 0;
     }
 }
 
 score::work_sums score::sum_work() const
 {
     work_sums sums;
-    for (caller const& who : m_callers.all()) {
-        if (who.plan->killer || left_in_time(who)) {
+    for (caller const& sender : m_callers.all()) {
+        if (sender.plan->killer || left_in_time(sender)) {
             continue;
         }
-        sums.demanded += work_of(who);
-        if (within(who)) {
-            sums.in_time += work_of(who);
-            sums.in_time_in_window += work_in_window(m_fleet.sends()[who.send]);
+        sums.demanded += work_of(sender);
+        if (within(sender)) {
+            sums.in_time += work_of(sender);
+            sums.in_time_in_window +=
+                work_in_window(m_fleet.sends()[sender.send]);
         }
     }
     return sums;
@@ -140,9 +144,9 @@
     for (attempt const& one : m_fleet.attempts()) {
         computed += m_deployment.work(one.result.computed_prompt,
                                       one.result.computed_output);
-        send const& whose = m_fleet.sends()[one.send];
+        send const& sent = m_fleet.sends()[one.send];
         bool const taken =
-            whose.end == send_end::ran || whose.end == send_end::hung_up;
+            sent.end == send_end::ran || sent.end == send_end::hung_up;
         if (!taken || one.relayed == 0) {
             continue;
         }
@@ -151,7 +155,7 @@
         std::uint32_t const prompt = begun[one.send]
                                          ? 0
                                          : std::min(one.result.computed_prompt,
-                                                    whose.plan->prompt_tokens);
+                                                    sent.plan->prompt_tokens);
         begun[one.send] = true;
         useful += m_deployment.work(prompt, one.relayed);
     }
@@ -169,13 +173,13 @@
         tier_result made;
         made.name = tier.name;
         made.guaranteed = tier.guaranteed_share;
-        for (caller const& who : m_callers.all()) {
-            if (m_deployment.tier_of(who.plan->load).name != tier.name
-                || who.plan->killer) {
+        for (caller const& sender : m_callers.all()) {
+            if (m_deployment.tier_of(sender.plan->load).name != tier.name
+                || sender.plan->killer) {
                 continue;
             }
-            made.demanded += work_of(who) / capacity();
-            made.delivered += settled_work(m_fleet.sends()[who.send])
+            made.demanded += work_of(sender) / capacity();
+            made.delivered += settled_work(m_fleet.sends()[sender.send])
                               / (capacity() * settled_share);
         }
         all.push_back(made);
@@ -190,13 +194,13 @@
         all.push_back({name, 0, 0});
     }
     model::time_point const begin{};
-    for (caller const& who : m_callers.all()) {
-        if (who.plan->killer || left_in_time(who)
-            || who.plan->when < begin + m_scenario.from
-            || who.plan->when >= begin + m_scenario.until) {
+    for (caller const& sender : m_callers.all()) {
+        if (sender.plan->killer || left_in_time(sender)
+            || sender.plan->when < begin + m_scenario.from
+            || sender.plan->when >= begin + m_scenario.until) {
             continue;
         }
-        send const& last = m_fleet.sends()[who.send];
+        send const& last = m_fleet.sends()[sender.send];
         model::host const& host = m_deployment.hosts[last.entry_host];
         std::size_t const place =
             m_deployment.place_of(host.region, host.data_centre).region;
@@ -211,9 +215,9 @@
     for (std::size_t load = 0; load < m_deployment.loads.size(); ++load) {
         result.classes.push_back(describe(load));
     }
-    for (caller const& who : m_callers.all()) {
-        if (!who.plan->killer) {
-            count(who, result.classes[who.plan->load]);
+    for (caller const& sender : m_callers.all()) {
+        if (!sender.plan->killer) {
+            count(sender, result.classes[sender.plan->load]);
         }
     }
     for (send const& one : m_fleet.sends()) {
--- a/bench/policy_bench/score.hpp
+++ b/bench/policy_bench/score.hpp
@@ -15,8 +15,8 @@
 class score
 {
 public:
-    score(deployment const& where,
-          scenario const& what,
+    score(deployment const& deployment,
+          scenario const& scenario,
           std::uint64_t seed,
           callers const& from,
           fleet const& hosts);
@@ -32,13 +32,13 @@
     };
 
     class_result describe(std::size_t load) const;
-    void count(caller const& who, class_result& into) const;
-    bool in_time(caller const& who) const;
-    bool within(caller const& who) const;
-    bool left_in_time(caller const& who) const;
-    double work_of(caller const& who) const;
-    double work_in_window(send const& which) const;
-    double settled_work(send const& which) const;
+    void count(caller const& sender, class_result& into) const;
+    bool in_time(caller const& sender) const;
+    bool within(caller const& sender) const;
+    bool left_in_time(caller const& sender) const;
+    double work_of(caller const& sender) const;
+    double work_in_window(send const& request) const;
+    double settled_work(send const& request) const;
     work_sums sum_work() const;
     double wasted() const;
     std::vector<tier_result> tiers() const;
--- a/bench/policy_bench/simulation.cpp
+++ b/bench/policy_bench/simulation.cpp
@@ -18,18 +18,18 @@
 constexpr std::chrono::milliseconds slow_lag{2'000};
 constexpr std::uint32_t max_engines_lost = 2;
 
-void plan_faults(scenario const& what,
+void plan_faults(scenario const& scenario,
                  std::uint64_t seed,
                  event_queue& queue,
                  fleet& hosts,
                  telemetry& reports)
 {
-    model::time_point const from = model::time_point{} + what.from;
-    model::time_point const until = model::time_point{} + what.until;
-    if (what.slowdown > 1.0) {
+    model::time_point const from = model::time_point{} + scenario.from;
+    model::time_point const until = model::time_point{} + scenario.until;
+    if (scenario.slowdown > 1.0) {
         std::size_t const slow = seed % hosts.upstreams().engine_count();
         queue.at(from, [&, slow] {
-            hosts.upstreams().engine(slow).slow_down(what.slowdown);
+            hosts.upstreams().engine(slow).slow_down(scenario.slowdown);
             reports.lag_more(slow_lag);
         });
         queue.at(until, [&, slow] {
@@ -37,7 +37,7 @@
             reports.lag_more({});
         });
     }
-    if (what.cut) {
+    if (scenario.cut) {
         queue.at(from, [&hosts] {
             hosts.cut(true);
         });
@@ -47,9 +47,11 @@
     }
 }
 
-void run_to_end(scenario const& what, event_queue& queue, callers const& from)
+void run_to_end(scenario const& scenario,
+                event_queue& queue,
+                callers const& from)
 {
-    model::time_point now = model::time_point{} + what.length;
+    model::time_point now = model::time_point{} + scenario.length;
     queue.run_until(now);
     model::time_point const last = now + max_drain_time;
     while (!from.all_done() && now < last) {
@@ -60,12 +62,12 @@
 
 void check_answers(callers const& from, violation_list& violations)
 {
-    for (caller const& who : from.all()) {
-        if (!who.done) {
+    for (caller const& sender : from.all()) {
+        if (!sender.done) {
             violations.record("no_final_answer",
                               fmt::format("caller of load {}, {} sends",
-                                          who.plan->load,
-                                          who.sends));
+                                          sender.plan->load,
+                                          sender.sends));
         }
     }
 }
@@ -87,19 +89,19 @@
 
 } // namespace
 
-run_result simulate(deployment const& where,
-                    scenario const& what,
+run_result simulate(deployment const& deployment,
+                    scenario const& scenario,
                     policy_maker const& make,
                     std::uint64_t seed)
 {
     event_queue queue;
-    network net(where.delays, queue);
+    network net(deployment.delays, queue);
     violation_list violations;
-    auditor watch(where, violations);
-    fleet hosts(where, seed, make, queue, net, watch, violations);
-    auto const trace = generate_trace(where, what, seed);
-    callers from(where, what, trace, queue, hosts);
-    telemetry reports(where,
+    auditor watch(deployment, violations);
+    fleet hosts(deployment, seed, make, queue, net, watch, violations);
+    auto const trace = generate_trace(deployment, scenario, seed);
+    callers from(deployment, scenario, trace, queue, hosts);
+    telemetry reports(deployment,
                       seed,
                       queue,
                       net,
@@ -108,23 +110,23 @@
                           hosts.handle_event(host, event);
                       });
     hosts.start(
-        [&from](send const& which, model::milliseconds retry) {
-            from.answered(which, retry);
+        [&from](send const& request, model::milliseconds retry) {
+            from.answered(request, retry);
         },
-        model::time_point{} + what.settled(),
-        model::time_point{} + what.length,
-        what.digest_period);
+        model::time_point{} + scenario.settled(),
+        model::time_point{} + scenario.length,
+        scenario.digest_period);
     reports.start();
     from.start();
-    plan_faults(what, seed, queue, hosts, reports);
-    run_to_end(what, queue, from);
+    plan_faults(scenario, seed, queue, hosts, reports);
+    run_to_end(scenario, queue, from);
     hosts.stop();
     reports.stop();
     watch.finish();
     check_answers(from, violations);
     run_result result;
     result.seed = seed;
-    score(where, what, seed, from, hosts).fill(result);
+    score(deployment, scenario, seed, from, hosts).fill(result);
     result.cross_region_bytes = net.cross_region_bytes();
     for (std::size_t one = 0; one < hosts.upstreams().engine_count(); ++one) {
         result.engines_lost += hosts.upstreams().engine(one).crashes();
@@ -133,7 +135,7 @@
         violations.record("engines_lost_to_one_request",
                           fmt::format("{} engines", result.engines_lost));
     }
-    if (what.cut) {
+    if (scenario.cut) {
         check_regions(result, violations);
     }
     result.violations = violations.all();
--- a/bench/policy_bench/simulation.hpp
+++ b/bench/policy_bench/simulation.hpp
@@ -12,8 +12,8 @@
 
 /// Runs one scenario on one deployment in virtual time. The result depends only
 /// on the arguments. The caller fills in the names of the result.
-run_result simulate(deployment const& where,
-                    scenario const& what,
+run_result simulate(deployment const& deployment,
+                    scenario const& scenario,
                     policy_maker const& make,
                     std::uint64_t seed);
 
--- a/bench/policy_bench/telemetry.cpp
+++ b/bench/policy_bench/telemetry.cpp
@@ -11,13 +11,13 @@
 
 } // namespace
 
-telemetry::telemetry(deployment const& where,
+telemetry::telemetry(deployment const& deployment,
                      std::uint64_t seed,
                      event_queue& queue,
                      network& net,
                      upstream_set& upstreams,
                      deliver to_host)
-    : m_deployment(where)
+    : m_deployment(deployment)
     , m_random(seed, random_stream)
     , m_queue(queue)
     , m_network(net)
@@ -110,7 +110,7 @@
             continue;
         }
         model::host const& to = m_deployment.hosts[host];
-        m_network.send(m_upstreams.where(engine),
+        m_network.send(m_upstreams.place_of(engine),
                        m_deployment.place_of(to.region, to.data_centre),
                        bytes,
                        [this, lag, host, event] {
--- a/bench/policy_bench/telemetry.hpp
+++ b/bench/policy_bench/telemetry.hpp
@@ -31,7 +31,7 @@
     static constexpr double lost_share = 0.02;
     static constexpr std::uint64_t report_bytes = 200;
 
-    telemetry(deployment const& where,
+    telemetry(deployment const& deployment,
               std::uint64_t seed,
               event_queue& queue,
               network& net,
--- a/bench/policy_bench/tier_ledger.cpp
+++ b/bench/policy_bench/tier_ledger.cpp
@@ -4,8 +4,8 @@
 
 namespace caperjunction::bench {
 
-tier_ledger::tier_ledger(deployment const& where)
-    : m_deployment(where)
+tier_ledger::tier_ledger(deployment const& deployment)
+    : m_deployment(deployment)
     , m_work(model::limits::max_tiers)
 {
 }
--- a/bench/policy_bench/tier_ledger.hpp
+++ b/bench/policy_bench/tier_ledger.hpp
@@ -24,7 +24,7 @@
     /// shares on its own.
     static constexpr double slack = 1.25;
 
-    explicit tier_ledger(deployment const& where);
+    explicit tier_ledger(deployment const& deployment);
 
     void dispatched(planned_request const& plan, model::time_point now);
 
--- a/bench/policy_bench/trace.cpp
+++ b/bench/policy_bench/trace.cpp
@@ -32,22 +32,23 @@
     return value ^ (value >> 31);
 }
 
-double base_scale(deployment const& where, scenario const& what)
+double base_scale(deployment const& deployment, scenario const& scenario)
 {
     double total = 0.0;
-    for (class_load const& load : where.loads) {
+    for (class_load const& load : deployment.loads) {
         total += load.share_of_capacity;
     }
-    return what.load_of_capacity > 0.0 ? what.load_of_capacity / total
-                                       : what.load;
+    return scenario.load_of_capacity > 0.0 ? scenario.load_of_capacity / total
+                                           : scenario.load;
 }
 
 /// Returns the additional demand in the window as a multiple of the base rate.
-double
-extra_demand(deployment const& where, scenario const& what, std::size_t load)
+double extra_demand(deployment const& deployment,
+                    scenario const& scenario,
+                    std::size_t load)
 {
-    double const wanted = std::max(what.flood, what.burst - 1.0);
-    bool const highest = where.tier_of(load).rank == 0;
+    double const wanted = std::max(scenario.flood, scenario.burst - 1.0);
+    bool const highest = deployment.tier_of(load).rank == 0;
     return highest ? std::min(wanted, highest_tier_burst - 1.0) : wanted;
 }
 
@@ -55,15 +56,15 @@
 class load_source
 {
 public:
-    load_source(deployment const& where,
-                scenario const& what,
+    load_source(deployment const& deployment,
+                scenario const& scenario,
                 std::uint64_t seed,
                 std::size_t load)
-        : m_deployment(where)
-        , m_scenario(what)
+        : m_deployment(deployment)
+        , m_scenario(scenario)
         , m_load(load)
         , m_random(seed, load)
-        , m_is_affected(affected_load(where, seed) == load)
+        , m_is_affected(affected_load(deployment, seed) == load)
     {
     }
 
@@ -179,16 +180,17 @@
     bool m_is_affected;
 };
 
-planned_request
-make_killer(deployment const& where, scenario const& what, std::uint64_t seed)
+planned_request make_killer(deployment const& deployment,
+                            scenario const& scenario,
+                            std::uint64_t seed)
 {
-    random_source random(seed, where.loads.size());
+    random_source random(seed, deployment.loads.size());
     planned_request made;
-    made.when = model::time_point{} + what.from;
-    made.load = affected_load(where, seed);
-    made.team = random.bits() % where.team_weights.size();
-    made.prompt_tokens = where.loads[made.load].mean_prompt_tokens;
-    made.output_tokens = where.loads[made.load].mean_output_tokens;
+    made.when = model::time_point{} + scenario.from;
+    made.load = affected_load(deployment, seed);
+    made.team = random.bits() % deployment.team_weights.size();
+    made.prompt_tokens = deployment.loads[made.load].mean_prompt_tokens;
+    made.output_tokens = deployment.loads[made.load].mean_output_tokens;
     made.fingerprint = random.bits();
     made.balancer = random.bits();
     made.killer = true;
@@ -197,39 +199,39 @@
 
 } // namespace
 
-std::size_t affected_load(deployment const& where, std::uint64_t seed)
+std::size_t affected_load(deployment const& deployment, std::uint64_t seed)
 {
     std::vector<std::size_t> candidates;
-    for (std::size_t load = 0; load < where.loads.size(); ++load) {
-        if (where.loads[load].service.empty()) {
+    for (std::size_t load = 0; load < deployment.loads.size(); ++load) {
+        if (deployment.loads[load].service.empty()) {
             candidates.push_back(load);
         }
     }
     return candidates[seed % candidates.size()];
 }
 
-double peak_share(deployment const& where,
-                  scenario const& what,
+double peak_share(deployment const& deployment,
+                  scenario const& scenario,
                   std::uint64_t seed,
                   std::size_t load)
 {
-    double const extra = affected_load(where, seed) == load
-                             ? extra_demand(where, what, load)
+    double const extra = affected_load(deployment, seed) == load
+                             ? extra_demand(deployment, scenario, load)
                              : 0.0;
-    return where.loads[load].share_of_capacity * base_scale(where, what)
-           * (1.0 + extra);
+    return deployment.loads[load].share_of_capacity
+           * base_scale(deployment, scenario) * (1.0 + extra);
 }
 
-std::vector<planned_request> generate_trace(deployment const& where,
-                                            scenario const& what,
+std::vector<planned_request> generate_trace(deployment const& deployment,
+                                            scenario const& scenario,
                                             std::uint64_t seed)
 {
     std::vector<planned_request> trace;
-    for (std::size_t load = 0; load < where.loads.size(); ++load) {
-        load_source(where, what, seed, load).generate(trace);
+    for (std::size_t load = 0; load < deployment.loads.size(); ++load) {
+        load_source(deployment, scenario, seed, load).generate(trace);
     }
-    if (what.killer) {
-        trace.push_back(make_killer(where, what, seed));
+    if (scenario.killer) {
+        trace.push_back(make_killer(deployment, scenario, seed));
     }
     std::stable_sort(
         trace.begin(), trace.end(), [](auto const& left, auto const& right) {
--- a/bench/policy_bench/upstream_set.cpp
+++ b/bench/policy_bench/upstream_set.cpp
@@ -2,20 +2,20 @@
 
 namespace caperjunction::bench {
 
-upstream_set::upstream_set(deployment const& where,
+upstream_set::upstream_set(deployment const& deployment,
                            event_queue& queue,
                            hook_maker const& make_hooks)
 {
-    for (model::engine const& one : where.upstreams.engines) {
+    for (model::engine const& one : deployment.upstreams.engines) {
         m_engines.push_back(std::make_unique<fake_engine>(
-            where.engine, queue, make_hooks(m_names.size())));
-        m_places.push_back(where.place_of(one.region, one.data_centre));
+            deployment.engine, queue, make_hooks(m_names.size())));
+        m_places.push_back(deployment.place_of(one.region, one.data_centre));
         m_names.push_back(one.name);
     }
-    for (model::service_instance const& one : where.upstreams.services) {
+    for (model::service_instance const& one : deployment.upstreams.services) {
         m_services.push_back(
             std::make_unique<fake_service>(queue, make_hooks(m_names.size())));
-        m_places.push_back(where.place_of(one.region, one.data_centre));
+        m_places.push_back(deployment.place_of(one.region, one.data_centre));
         m_names.push_back(one.name);
     }
     for (std::size_t index = 0; index < m_names.size(); ++index) {
@@ -34,7 +34,7 @@
     return m_names[upstream];
 }
 
-place const& upstream_set::where(std::size_t upstream) const
+place const& upstream_set::place_of(std::size_t upstream) const
 {
     return m_places[upstream];
 }
--- a/bench/policy_bench/upstream_set.hpp
+++ b/bench/policy_bench/upstream_set.hpp
@@ -26,7 +26,7 @@
 
     static constexpr std::size_t none = static_cast<std::size_t>(-1);
 
-    upstream_set(deployment const& where,
+    upstream_set(deployment const& deployment,
                  event_queue& queue,
                  hook_maker const& make_hooks);
 
@@ -34,7 +34,7 @@
     std::size_t find(std::string const& name) const;
 
     std::string const& name(std::size_t upstream) const;
-    place const& where(std::size_t upstream) const;
+    place const& place_of(std::size_t upstream) const;
     bool up(std::size_t upstream) const;
 
     std::size_t engine_count() const
